--- a/src/piershore/core/attempts/__init__.py
+++ b/src/piershore/core/attempts/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of each attempt at an endpoint, and what may follow it."""
+"""Outcomes of attempts at endpoints, and the rules for retries."""
--- a/src/piershore/core/attempts/attempt_outcome.py
+++ b/src/piershore/core/attempts/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt at an endpoint ended, and what that allows."""
+"""Outcomes of attempts at endpoints, and whether a retry may follow."""
 
 from __future__ import annotations
 
@@ -15,21 +15,22 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
     }
 )
-"""Statuses that tell a caller that nothing ran; an endpoint that gives one without
-saying so itself proves nothing."""
+"""Statuses that tell a caller that the request has not run. From an endpoint such a
+status alone proves nothing: it must also say so explicitly."""
 
 MOST_PROVEN_UNRUN = 3
-"""Endpoints that may refuse a request unrun before its caller is told to come back."""
+"""Endpoints that may refuse a request without running it before its caller is told to
+retry later."""
 
 
 class AttemptOutcome(StrEnum):
-    """What is known of one attempt.
+    """The outcome of one attempt, as far as the gateway knows.
 
     Only `NOT_SENT`, `REJECTED`, `HELD`, `RESTING` and `LIMITED` prove that the endpoint
-    has not executed the request and never will. `HELD`: it goes to no endpoint, since
-    some have crashed under it. `RESTING`: it was not sent, since its endpoint had asked
-    for rest meanwhile; `LIMITED`: since this gateway has sent its part of what the
-    endpoint takes.
+    has not executed the request and never will. `HELD`: the request is quarantined and
+    goes to no endpoint. `RESTING`: it was not sent, since the endpoint had meanwhile
+    requested a backoff. `LIMITED`: it was not sent, since this gateway's quota of the
+    endpoint's rate is used up.
     """
 
     NOT_SENT = "not_sent"
@@ -61,7 +62,7 @@
 
 
 def may_try_again(kind: RequestKind, outcome: AttemptOutcome) -> bool:
-    """Tell whether another endpoint may get the request after this outcome."""
+    """Return whether the request may be sent to another endpoint afterwards."""
     if outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.HELD):
         return False
     if outcome.proves_not_run:
@@ -70,9 +71,9 @@
 
 
 def final_status(outcomes: tuple[AttemptOutcome, ...]) -> HTTPStatus:
-    """Return the status that is true after all attempts, when none answered.
+    """Return the status for the caller after all attempts, when none was answered.
 
-    503 promises that the request has not run; it is given only if all attempts
+    503 promises that the request has not run, so it is returned only if all attempts
     prove that.
     """
     if all(outcome.proves_not_run for outcome in outcomes):
--- a/src/piershore/core/attempts/leaving.py
+++ b/src/piershore/core/attempts/leaving.py
@@ -1,4 +1,4 @@
-"""Which requests a gateway that was told to stop still takes."""
+"""Graceful shutdown: which requests a stopping gateway accepts, and when to retry."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from piershore.core.fleet.generation_work import GenerationSize
 
 TOKEN_SECONDS = 0.012
-"""Pace of one token on a crowded engine: 7 ms a step, and 0.12 ms a slot."""
+"""Time for one token on an overloaded engine: 7 ms a step, and 0.12 ms a slot."""
 FIRST_EVENT_SECONDS = 1.5
-"""Time to the first event of a generation, the longest aim of the users' routes."""
+"""Time to the first event of a generation: the longest target of the users' routes."""
 
 START_SECONDS = 1.2
-"""From the end of a gateway's process to its next one that serves; 1.1 to 1.2 s seen on
-boxes with 0.8 of a core."""
+"""From the end of a gateway's process until its next process serves; 1.1 to 1.2 s were
+observed on boxes with 0.8 of a core."""
 AT_ONCE_SECONDS = 0.02
-"""When to come back after a refusal by a gateway that stops, if others stay."""
+"""When to retry after a refusal by a stopping gateway, if other gateways stay."""
 
 STILL_SENT_SECONDS = 2.4
-"""Callers are still sent here so long after the stop was told: the platform looks
-once a second and takes a box out after two misses. What is refused then may well come
-back to a gateway that stops as well."""
+"""How long the platform still routes callers here after the stop: it checks once a
+second and removes a box after two missed checks. A request that is refused in this time
+may be routed to a stopping gateway again."""
 
 
 def takes_while_leaving(
@@ -29,10 +29,11 @@
     seconds_leaving: float,
     seconds_left: float,
 ) -> bool:
-    """Tell whether a gateway that was told to stop takes a request.
+    """Return whether a gateway that was told to stop accepts a request.
 
-    Later on, only what is sure to end before the process must: `timeout` is its
-    route's, in seconds; a generation may make all that it asks for.
+    While callers are still routed here, it accepts all. Later, it accepts only what is
+    sure to end before the process must: within the route's `timeout`, in seconds, or
+    within the time in which a generation makes its maximum number of tokens.
     """
     if seconds_leaving <= STILL_SENT_SECONDS:
         return True
@@ -45,11 +46,11 @@
 def come_back_seconds(
     leaving_since: Iterable[float], grace: float, now: float, *, others_stay: bool
 ) -> float:
-    """Return when a caller that was refused finds a gateway that stays.
+    """Return the seconds after which a refused caller finds a gateway that stays.
 
-    `leaving_since` are the times at which gateways that stop were told to, `grace` is
-    the time in which they end. With all of them stopping, a caller that came back at
-    once would be refused again, and most ask only twice.
+    `leaving_since` are the times at which stopping gateways were told to stop, `grace`
+    is the time within which they end. While all of them stop, a caller that retried
+    immediately would be refused again, and most callers try only twice.
     """
     if others_stay:
         return AT_ONCE_SECONDS
--- a/src/piershore/core/attempts/retry_allowance.py
+++ b/src/piershore/core/attempts/retry_allowance.py
@@ -1,4 +1,4 @@
-"""A gateway's share of the retries that all gateways may make together."""
+"""Retry budget: limits the retries of all gateways together to a share of requests."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 @dataclass(frozen=True)
 class RetryLimits:
-    """In any `window` seconds: `ratio` of the requests and `slack` more.
+    """Allows `ratio` retries a request, and `slack` more, in any `window` seconds.
 
-    `safety` is the part of it that is used: gateways estimate each other.
+    Only the share `safety` of that is used, since gateways estimate how many others
+    there are.
     """
 
     ratio: float
@@ -20,7 +21,7 @@
 
 
 class RetryAllowance:
-    """Counts first attempts and further ones of one service over a window."""
+    """Counts the requests and retries of one service within a window."""
 
     def __init__(self, limits: RetryLimits) -> None:
         self._limits = limits
@@ -33,19 +34,19 @@
         self._forget(now)
 
     def spend(self, now: float, gateways: int) -> bool:
-        """Take one retry if there is one left; `gateways` share the slack."""
+        """Use one retry if one remains; `gateways` share the slack."""
         if self.left(now, gateways) < 1:
             return False
         self._retries.append(now)
         return True
 
     def left(self, now: float, gateways: int) -> float:
-        """Return how many retries may still be made in the present window."""
+        """Return how many retries remain in the current window."""
         self._forget(now)
         return max(0.0, self.allowed(gateways) - len(self._retries))
 
     def allowed(self, gateways: int) -> float:
-        """Return how many retries this gateway may make in a window."""
+        """Return how many retries this gateway may make within the window."""
         share = self._limits.slack / max(1, gateways)
         total = self._limits.ratio * len(self._requests) + share
         return max(1.0, self._limits.safety * total)
--- a/src/piershore/core/quarantine/__init__.py
+++ b/src/piershore/core/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which endpoints crash: who is suspected, and what is not sent on."""
+"""Quarantine for requests that crash endpoints."""
--- a/src/piershore/core/quarantine/endpoint_runs.py
+++ b/src/piershore/core/quarantine/endpoint_runs.py
@@ -1,4 +1,4 @@
-"""What runs at each endpoint, so that a crash can be laid to who had just begun."""
+"""Requests that run at each endpoint, to find those that may have crashed it."""
 
 from __future__ import annotations
 
@@ -7,20 +7,21 @@
 from math import inf
 
 FRESH_SECONDS = 1.0
-"""A run whose first part came longer ago isn't suspected of its endpoint's crash.
-Crashes were seen 0.07 to 0.25 s after the begin of the run that caused them; the
+"""A run whose first chunk came longer ago isn't suspected of its endpoint's crash.
+Observed crashes came 0.07 to 0.25 s after the start of the run that caused them; the
 reviews that they broke off had run for 1.8 to 8.5 s."""
 REMEMBERED_SECONDS = 6.0
-"""A run that ended without an answer is remembered for so long: the entry of an
-endpoint that has fallen silent goes after 3.6 s, and changes may come late."""
+"""How long a run without a complete answer is remembered: the entry of an endpoint that
+stops responding is removed after 3.6 s, and the change may arrive late."""
 
 
 @dataclass(eq=False)
 class EndpointRun:
-    """One try at one endpoint; `content` is the same for each try of a request.
+    """One attempt at an endpoint.
 
-    `first_at` is when a part of its answer came first, `ended_at` when its gateway
-    stopped waiting for more.
+    `content` is the digest of the request, the same for all its attempts. `first_at` is
+    when the first chunk of the answer came, `ended_at` when the gateway stopped waiting
+    for more.
     """
 
     request: str
@@ -29,28 +30,31 @@
     ended_at: float = inf
 
     def note_part(self, now: float) -> None:
-        """Count a part of the answer."""
+        """Record a chunk of the answer."""
         self.first_at = min(self.first_at, now)
 
     def is_fresh(self, now: float) -> bool:
-        """Whether it has not run for long, or had not when it ended."""
+        """Return whether the run may have caused a crash of its endpoint now.
+
+        It may if its first chunk came a short time ago, or before the run ended.
+        """
         return min(now, self.ended_at) - self.first_at <= FRESH_SECONDS
 
 
 class EndpointRuns:
-    """Runs by endpoint identity: those under way, and those lately left unanswered."""
+    """Runs by endpoint identity: active ones, and those recently abandoned."""
 
     def __init__(self) -> None:
         self._runs: dict[str, list[EndpointRun]] = {}
 
     def begin(self, identity: str, request: str, content: str) -> EndpointRun:
-        """Note that an endpoint gets a request."""
+        """Record that a request is sent to an endpoint."""
         run = EndpointRun(request, content)
         self._runs.setdefault(identity, []).append(run)
         return run
 
     def end(self, identity: str, run: EndpointRun) -> None:
-        """Note that the endpoint has answered, so it has not crashed under the run."""
+        """Remove a run that was answered: it has not crashed the endpoint."""
         runs = self._runs.get(identity)
         if runs is None or run not in runs:
             return
@@ -59,24 +63,24 @@
             del self._runs[identity]
 
     def leave(self, identity: str, run: EndpointRun, now: float) -> None:
-        """Note that no more will be heard of a run that has not been answered."""
+        """Record that the gateway no longer waits for the answer to a run."""
         run.ended_at = now
         if not run.is_fresh(now):
             self.end(identity, run)
 
     def suspects(self, identity: str, now: float) -> Iterator[EndpointRun]:
-        """Yield the runs that may have crashed an endpoint that has just crashed."""
+        """Yield the runs that may have caused a crash of an endpoint now."""
         self.sweep(now)
         yield from (run for run in self._runs.get(identity, ()) if run.is_fresh(now))
 
     def clear(self, identity: str) -> None:
-        """Note that an endpoint lives: what ended there has not crashed it."""
+        """Remove the abandoned runs at an endpoint that lives: none has crashed it."""
         for run in list(self._runs.get(identity, ())):
             if run.ended_at < inf:
                 self.end(identity, run)
 
     def sweep(self, now: float) -> None:
-        """Forget what ended long ago."""
+        """Remove runs that were abandoned long ago."""
         for identity, runs in list(self._runs.items()):
             for run in list(runs):
                 if now - run.ended_at > REMEMBERED_SECONDS:
--- a/src/piershore/core/quarantine/quarantine.py
+++ b/src/piershore/core/quarantine/quarantine.py
@@ -1,10 +1,9 @@
-"""Requests that are not sent on, since endpoints have crashed under them.
+"""Quarantine for requests that crash endpoints.
 
-Load pattern: one request crashes each endpoint that begins to run it, and its caller
-sends it again and again, under new ids and at any gateway. Each crash also ends what
-else the endpoint ran, and takes its capacity away for seconds. Without a quarantine a
-repeat each 1.5 s crashed the engines of a fleet of 7, which come back after 4 s, 77
-times in 90 s (virtual time, one seed).
+A request may crash each endpoint that starts to run it, while its caller retries it
+under new ids at any gateway. Each crash also ends the endpoint's other work, and takes
+its capacity away for seconds. In a simulation without a quarantine, a retry every 1.5 s
+crashed the 7 engines of a fleet, which restart within 4 s, 77 times in 90 s.
 """
 
 from __future__ import annotations
@@ -18,23 +17,25 @@
 from piershore.core.remembering import remember
 
 MOST_CRASHES = 2
-"""Endpoints that may crash under a request before it is held. One may crash by chance;
-of 10,900 requests on eight days with many faults none broke off at a second endpoint
+"""Crashes after which a request is quarantined. One endpoint may crash by chance; of
+10,900 requests on eight days with many faults none broke off at a second endpoint
 without an answer in between."""
 PROBE_SECONDS = (30.0, 120.0, 600.0)
-"""When a request that is held is let through again, once in the whole fleet each time:
-endpoints may have been mended meanwhile, or have crashed under everything. After as
-many probes in vain it is held until it is forgotten."""
+"""Delays after which a quarantined request is released as a probe, one request in the
+whole fleet each time: endpoints may have been fixed, or have crashed under any request.
+After this many probes without success the request is quarantined until it is
+forgotten."""
 FORGET_SECONDS = 3_600.0
-"""A request that hasn't come for so long is forgotten."""
+"""A request that was not sent again for this long is forgotten."""
 SOUND_SECONDS = 30.0
-"""A request that ran well in this time isn't suspected: what many callers send alike is
-under way at most crashes, and would be held for what another one does."""
+"""A request that completed within this time isn't suspected: a request that many
+callers send is running at most crashes, and would be quarantined for crashes that
+another one causes."""
 MOST_SOUND = 4_096
-"""Requests that are remembered to have run well, at most 1 MB: those of 30 s at a
-gateway with 130 a second."""
+"""Completed requests that are remembered, at most 1 MB: those of 30 s at a gateway with
+130 a second."""
 MOST_RECORDS = 2_048
-"""Requests that are remembered, at most 2 MB; an endpoint must crash for each."""
+"""Suspected requests that are remembered, at most 2 MB; each requires a crash."""
 
 
 @dataclass
@@ -48,12 +49,12 @@
 
     @property
     def crashes(self) -> int:
-        """Crashes that the request may have caused."""
+        """The number of crashes that the request may have caused."""
         return len(self.crashed - self.excused)
 
     @property
     def is_held(self) -> bool:
-        """Whether it is let through only as a probe."""
+        """Whether the request is released only as a probe."""
         return self.crashes >= self.most_crashes
 
     def hold(self, now: float) -> None:
@@ -65,7 +66,7 @@
             self.held_until = now + later
 
     def excuse(self, now: float) -> bool:
-        """Lay the crashes so far to chance; tell whether there were any."""
+        """Clear the request of all crashes so far; return whether there were any."""
         if not self.crashes:
             return False
         self.excused |= self.crashed
@@ -73,7 +74,7 @@
         return True
 
     def merge(self, note: CrashNote) -> bool:
-        """Take what a peer tells; tell whether any of it is new."""
+        """Merge a report; return whether any of it is new."""
         before = len(self.crashed), len(self.excused), self.probes
         room = MOST_ENDPOINTS - len(self.crashed)
         self.crashed.update(islice(sorted(note.crashed - self.crashed), room))
@@ -82,13 +83,13 @@
         return before != (len(self.crashed), len(self.excused), self.probes)
 
     def note(self, content: str) -> CrashNote:
-        """Return what peers are told."""
+        """Return the report for peers."""
         crashed, excused = frozenset(self.crashed), frozenset(self.excused)
         return CrashNote(content, crashed, excused, self.probes)
 
 
 class Quarantine:
-    """What is known of requests under which endpoints crashed, by their content."""
+    """Suspected and quarantined requests by their digest, and their crashes."""
 
     def __init__(self, most_crashes: int = MOST_CRASHES) -> None:
         self._most_crashes = most_crashes
@@ -96,11 +97,11 @@
         self._sound: dict[str, float] = {}
 
     def __len__(self) -> int:
-        """Return how many requests are held."""
+        """Return the number of quarantined requests."""
         return sum(record.is_held for record in self._records.values())
 
     def seconds_held(self, content: str, now: float) -> float | None:
-        """Return in how many seconds a request may be sent; None if it may be now."""
+        """Return the seconds until a request may be sent; None if it may be now."""
         record = self._records.get(content)
         if record is None:
             return None
@@ -113,9 +114,9 @@
         return min(record.held_until - now, FORGET_SECONDS)
 
     def note_sent(self, content: str, now: float) -> bool:
-        """Note that a request goes to an endpoint; tell whether it is a probe.
+        """Record that a request is sent to an endpoint; return whether as a probe.
 
-        The next one is due only later, here and at all peers that hear of it.
+        A probe defers the next one, here and at all peers that receive the report.
         """
         record = self._records.get(content)
         if record is None or not record.is_held:
@@ -125,9 +126,10 @@
         return True
 
     def note_crash(self, content: str, identity: str, now: float) -> int:
-        """Count the crash of an endpoint; return the crashes if it is a new one.
+        """Record the crash of an endpoint; return the request's number of crashes.
 
-        A request that ran well lately isn't suspected: 0.
+        0 if the crash is known already, or if the request completed recently and is not
+        suspected.
         """
         note = CrashNote(content, frozenset({identity}))
         if not self.take(note, now) or self.excuse_sound(content, now):
@@ -135,13 +137,16 @@
         return self._records[content].crashes
 
     def note_whole(self, content: str, now: float) -> bool:
-        """Note that a request ran well; tell whether that excuses it of crashes."""
+        """Record that a request completed; return whether this clears it of crashes."""
         remember(self._sound, content, now, MOST_SOUND)
         record = self._records.get(content)
         return record is not None and record.excuse(now)
 
     def excuse_sound(self, content: str, now: float) -> bool:
-        """Excuse a request that ran well here lately; tell whether that is new."""
+        """Clear a request of crashes if it completed here recently.
+
+        Return whether there were any.
+        """
         sound_at = self._sound.get(content, -inf)
         record = self._records.get(content)
         if record is None or now - sound_at > SOUND_SECONDS:
@@ -149,7 +154,7 @@
         return record.excuse(now)
 
     def take(self, note: CrashNote, now: float) -> bool:
-        """Add what a gateway tells; tell whether any of it is new."""
+        """Apply a gateway's report; return whether any of it is new."""
         record = self._records.get(note.content) or _Record(self._most_crashes)
         if not record.merge(note):
             return False
@@ -162,23 +167,23 @@
         return True
 
     def is_held(self, content: str) -> bool:
-        """Tell whether a request is let through only as a probe."""
+        """Return whether a request is released only as a probe."""
         record = self._records.get(content)
         return record is not None and record.is_held
 
     def note(self, content: str) -> CrashNote | None:
-        """Return what peers are told of one request."""
+        """Return the report for peers about one request, or None."""
         record = self._records.get(content)
         return record and record.note(content)
 
     def held(self) -> Iterator[CrashNote]:
-        """Yield what peers are told of all requests that are held."""
+        """Yield the reports for peers about all quarantined requests."""
         for content, record in self._records.items():
             if record.is_held:
                 yield record.note(content)
 
     def _evict(self) -> None:
-        """Forget the oldest of too many; those that are not held first."""
+        """Evict the oldest of too many records, those not in quarantine first."""
         if len(self._records) <= MOST_RECORDS:
             return
         free = (content for content, r in self._records.items() if not r.is_held)
