--- a/features/asked_rest.feature
+++ b/features/asked_rest.feature
@@ -1,27 +1,26 @@
-Feature: An endpoint turns a request away and asks for rest
-
-  # One of three endpoints of a plain service turned all calls away for 9 s and asked for
-  # 3 s of rest each time. Six gateways sent it 134 calls in 8 s, up to eight of one gateway
-  # in one rest, and from the third second on refused callers ("request_refused status 503
-  # code endpoints_refused retry_after 0.25") though the two others worked. An endpoint that
-  # refuses within 2 ms seems the least loaded, so it was tried first ("attempt_started
-  # attempt 1 cost 0.0033", "attempt_ended rejected, not run, status 503"), and each such try
-  # took a retry until none was left. A refusal that proves that nothing ran blamed nobody,
-  # and its time to come back wasn't read.
-  Scenario: one of three asks for it, in virtual time
+Feature: Endpoints that refuse requests and ask callers to back off
+
+  # An endpoint that refuses within 2 ms looks like the least loaded one, so it was tried
+  # first, and each attempt spent a retry until none was left. With one of three endpoints
+  # refusing all calls for 9 s, and requesting a backoff of 3 s each time, six gateways sent
+  # it 134 calls in 8 s, up to eight from one gateway within one backoff. From the third
+  # second on they refused callers with 503 although the other two endpoints worked. A
+  # refusal that proves that nothing ran wasn't counted against the endpoint, and its
+  # Retry-After header wasn't read.
+  Scenario: one of three endpoints refuses all calls, in virtual time
     Given 6 gateways before 3 endpoints of a plain service
-    When for 9 seconds one turns calls away and asks for 3 s of rest
-    Then at most 2 calls of a gateway reach it within a rest
+    When for 9 seconds one refuses calls and requests a backoff of 3 s
+    Then at most 2 calls from one gateway reach it within a backoff
     And no call is refused
 
-  Scenario: one of three asks a gateway for it
+  Scenario: one of three endpoints refuses a gateway's call
     Given 1 gateway before sound endpoints
-    When an endpoint of the desk turns a call away and asks for 1 s of rest
+    When an endpoint of the desk refuses a call and requests a backoff of 1 s
     Then it gets no call from the gateway within that time, and some after it
     And all calls are served
 
-  Scenario Outline: what asks for rest and what doesn't
-    Then an answer of <status> with "<value>" asks for <rest>
+  Scenario Outline: which answers request a backoff
+    Then the backoff requested by a <status> answer with Retry-After "<value>" is <rest>
 
     Examples:
       | status | value                         | rest    |
@@ -40,15 +39,15 @@
       | 421    | 3                             | nothing |
       | 200    | 3                             | nothing |
 
-  Scenario: rests that overlap
-    Then a shorter rest that is asked for later doesn't end a longer one
-    And one incarnation's rest isn't its successor's
+  Scenario: overlapping backoffs, and those of a restarted endpoint
+    Then a later, shorter backoff doesn't end a longer one
+    And a backoff of one incarnation doesn't apply to the next one
 
-  Scenario Outline: all endpoints of <service> rest
+  Scenario Outline: all endpoints of <service> request backoffs
     Given 1 gateway before sound endpoints
-    When all endpoints of <service> ask for 10 s of rest
-    Then a "<kind>" request is refused within 0.2 s, to come back when the first has rested
-    And none has got a request within its rest
+    When all endpoints of <service> request a backoff of 10 s
+    Then a "<kind>" request is refused within 0.2 s, to retry when the first backoff ends
+    And no endpoint got a request within its backoff
 
     Examples:
       | service   | kind       |
@@ -56,9 +55,9 @@
       | the desk  | repeatable |
       | the model | stream     |
 
-  Scenario Outline: all rest, and the first has rested in a moment
+  Scenario Outline: all endpoints have requested backoffs that are about to end
     Given 1 gateway before sound endpoints
-    When a "<kind>" request comes 20 ms before the end of all rests
+    When a "<kind>" request comes 20 ms before the end of all backoffs
     Then it is served
 
     Examples:
@@ -66,56 +65,57 @@
       | once   |
       | stream |
 
-  Scenario: a call waits for its connection when its endpoint asks for rest
+  Scenario: a backoff is requested while a call connects to the endpoint
     Given 1 gateway before sound endpoints
-    When an endpoint asks for rest while a call to it connects
+    When an endpoint requests a backoff while a call to it connects
     Then the call is served elsewhere
 
   Scenario: a refusal doesn't say whether the request has run
     Given 1 gateway before sound endpoints
-    When an endpoint answers 503 with a time to rest and without a proof
-    Then the caller isn't told that nothing has run, and the endpoint rests
+    When an endpoint answers 503 with Retry-After, without saying that nothing ran
+    Then the caller isn't told that nothing has run, and the endpoint's backoff applies
 
-  Scenario Outline: a stream breaks off and its backup rests
+  Scenario Outline: a stream breaks off while its backup has requested a backoff
     Given 2 engines
-    When a caller reads a large stream, its backup has <rest> s to rest, and its engine crashes
-    Then the resting engine gets nothing within that time, and the stream ends <as>
+    When the engine of a large stream crashes <rest> s before the end of its backup's backoff
+    Then the backup gets nothing within that time, and the stream ends <as>
 
-    # Callers give a stream up after a pause of 2 s.
+    # Callers give up a stream after a pause of 2 s.
     Examples:
       | rest | as        |
       | 10   | not whole |
       | 0.4  | whole     |
 
-  Scenario: why an endpoint was left out
+  Scenario: the log shows why an endpoint was skipped
     Given 1 gateway before sound endpoints
-    When an endpoint asks for rest, and then a call is served
+    When an endpoint requests a backoff, and then a call is served
     Then the log of that call names the endpoint as resting
 
-  # An agent took its engine's refusal for a lost engine: it asked again for a generation
-  # that had never begun, and the caller was told "engine_lost" with an unknown outcome. Two
-  # of these hold a request, as if engines had crashed under it. What came next was sent
-  # into the rest: 2 of 2 requests of each generation, 1 of 1 of each call.
-  Scenario: an engine asks an agent of the product's own interface for it
+  # An agent took its engine's refusal for the loss of the engine: it requested the output
+  # of a generation that had never begun, and the caller was told "engine_lost" with an
+  # unknown outcome. Two of these quarantine a request, as if it had crashed engines. Later
+  # requests were sent within the backoff: 2 of 2 for each generation, 1 of 1 for each call.
+  Scenario: an engine requests a backoff of an agent of the product's own interface
     When an engine asks its agent for 1 s of rest under a generation, and more are sent
     Then they are refused as unrun with endpoint_resting and what is left of the rest
     And 1 request reached the engine
     And a generation that is sent after the rest runs
 
-  Scenario: a plain service asks its agent for it
+  Scenario: a plain service requests a backoff of its agent
     When a plain service asks its agent for 1 s of rest under a call, and more are sent
     Then they are refused as unrun with endpoint_resting and what is left of the rest
     And 1 request reached the service
     And a call that is sent after the rest runs
 
-  Scenario: an agent tells its gateway of a rest
+  Scenario: an agent reports a backoff to its gateway
     When an agent refuses a request with endpoint_resting and 0.5 s
     Then its gateway chooses others, and it again after that time
 
-  # The same with refusals that ask for nothing: of 549 to 589 calls 47 to 53 were refused.
-  Scenario Outline: one of three turns calls away and asks for nothing, in virtual time
+  # The same with refusals that request no backoff: 47 to 53 of 549 to 589 calls were
+  # refused.
+  Scenario Outline: one of three endpoints refuses calls without a backoff, in virtual time
     Given 6 gateways before 3 endpoints of a plain service
-    When for 9 seconds one turns calls away, of <rate> a second
+    When for 9 seconds one refuses calls without a backoff, at <rate> calls a second
     Then no call is refused
 
     Examples:
@@ -123,15 +123,15 @@
       | 23   |
       | 200  |
 
-  Scenario: one of three turns a gateway's calls away and asks for nothing
+  Scenario: one of three endpoints refuses a gateway's calls without a backoff
     Given 1 gateway before sound endpoints
-    When an endpoint of the desk turns calls away while 60 come one after the other
+    When an endpoint of the desk refuses calls while 60 come one after the other
     Then at most 4 of them reach it in a second
     And all calls are served
 
-  Scenario: what turned work away is tried when nothing else is left
-    Then an endpoint that refuses is left out for 0.25 to 2 s, and chosen if all refuse
+  Scenario: an endpoint that refused work is used when no other is left
+    Then an endpoint that refuses is ejected for 0.25 to 2 s, and chosen if all refuse
 
-  # After 1,024 ejections the time of the next one was no longer a number.
+  # The duration of an ejection overflowed after 1,024 ejections.
   Scenario: an endpoint fails for hours
-    Then it is still left out after 2000 ejections
+    Then it is still ejected after 2000 ejections
--- a/features/leaving_in_answers.feature
+++ b/features/leaving_in_answers.feature
@@ -1,26 +1,25 @@
-Feature: An endpoint says in its answers that it leaves
+Feature: Endpoints that announce in their answers that they leave
 
-  # While the store took no writes, an endpoint began to say in its answers that it leaves.
-  # Four gateways sent it some 40 calls more in the next 6 s, though two other endpoints of
-  # its service were idle; the last ones broke off with it. No "endpoint_left" was logged
-  # until the store took the entry, 12.6 s later. Gateways read of an answer's head only
-  # what concerned its request: with heads logged, the first answer gave "endpoint_told
-  # status 200 is_leaving true", and the next call went to the same endpoint.
-  Scenario: the store can't say so, in virtual time
+  # Gateways read only those headers of an answer that concerned its request. While the
+  # store accepted no writes, an endpoint began to announce in its answers that it leaves.
+  # Four gateways sent it some 40 more calls in the next 6 s, although two other endpoints
+  # of its service were idle, and the last calls broke off when it stopped. The gateways
+  # learned of it only when the store accepted the entry, 12.6 s later.
+  Scenario: an endpoint leaves while the store is unavailable, in virtual time
     Given 6 gateways before 3 endpoints of a plain service
-    When for 9 seconds one says in its answers that it leaves
+    When for 9 seconds one announces in its answers that it leaves
     Then no call that came 2 s after such an answer is sent there by the same gateway
 
-  Scenario: calls go on at two gateways, and the entry still says ready
+  Scenario: an endpoint announces that it leaves while its entry is ready
     Given 2 gateways before sound endpoints
-    When an endpoint of the desk says in its answers that it leaves
-    Then the gateway that has passed on such an answer sends nothing more there
-    And 2 s after it the other gateway doesn't, either
+    When an endpoint of the desk announces in its answers that it leaves
+    Then the gateway that received such an answer sends nothing more there
+    And 2 s later the other gateway sends nothing there, either
 
-  Scenario Outline: whatever the answer is to
+  Scenario Outline: the announcement is in <answer>
     Given 1 gateway before sound endpoints
-    When an endpoint says that it leaves in <answer>
-    Then the gateway takes it for leaving
+    When an endpoint announces that it leaves in <answer>
+    Then the gateway marks it as leaving
 
     Examples:
       | answer                     |
@@ -32,38 +31,38 @@
       | a report                   |
       | an answer to a move        |
 
-  Scenario Outline: it stays so, whatever is read afterwards
+  Scenario Outline: an endpoint stays leaving when <news>
     Given 1 gateway before sound endpoints
-    When an endpoint has said that it leaves, and then <news>
-    Then the gateway takes it for leaving
+    When an endpoint has announced that it leaves, and then <news>
+    Then the gateway marks it as leaving
 
     Examples:
-      | news                                     |
-      | its entry is written again, ready        |
-      | the store's list is read again           |
-      | a peer's list says that it is ready      |
-      | its entry goes, and is back after a time |
+      | news                                 |
+      | its entry is written again as ready  |
+      | the store's list is read again       |
+      | a peer's list has it as ready        |
+      | its entry is removed and added again |
 
-  Scenario: what stands at its address later isn't blamed
+  Scenario: an announcement by another endpoint at the same address is ignored
     Given 1 gateway before sound endpoints
-    When another endpoint answers at an address with 421 and says that it leaves
-    Then the gateway takes that other one for ready
+    When another endpoint answers at an address with 421 and announces that it leaves
+    Then the gateway still has that other endpoint as ready
 
-  Scenario: a stream is under way there
+  Scenario: an engine with a running stream leaves
     Given 1 gateway before sound endpoints
-    When its engine says that it leaves in the answer to a question
-    Then the stream is moved and comes whole
+    When its engine announces that it leaves in the answer to a probe
+    Then the stream is moved and delivered completely
 
-  # The answer to a question about a silent stream told it, and only the stream was judged.
-  Scenario: a report says so that was asked for since a stream fell silent
+  # The answer to a probe because of a silent stream was applied to that stream only.
+  Scenario: the report of a probed engine says that it leaves
     Given 1 gateway before sound endpoints
-    When an engine falls silent under a stream, and its report says that it leaves
-    Then the gateway takes it for leaving
+    When an engine's stream falls silent, and its report says that it leaves
+    Then the gateway marks it as leaving
 
-  Scenario: all endpoints of a service say so
+  Scenario: all endpoints of a service leave
     Given 2 gateways before sound endpoints
-    When all endpoints of the desk have said that they leave
-    Then a call is refused within 0.2 s with 503 and a time to come back
+    When all endpoints of the desk have announced that they leave
+    Then a call is refused within 0.2 s with 503 and a Retry-After header
 
-  Scenario: a gateway has heard of it before it knows the endpoint
-    Then an endpoint that a peer has told of leaves from its first entry on
+  Scenario: a peer reports that an unknown endpoint leaves
+    Then an endpoint that a peer reported as leaving is so from its first entry on
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what endpoints ask in the heads of their answers."""
+"""Steps for notices that endpoints attach to the heads of their answers."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 SEEDS = range(4)
 CALLS = 20
 PROMISED_SECONDS = 2.0
-"""An endpoint that has said that it leaves gets nothing new so long after."""
+"""After this time no gateway sends new work to an endpoint that announced to leave."""
 LEAVES = "server-leaving"
 IDLE_SECONDS = 1.0
 SETTLE_SECONDS = 3.0
-"""Longest wait for something that takes some ms."""
+"""Timeout of waits for conditions that usually take some ms."""
 LONG_EVENTS = 150
 SHORT = "100,20"
 
@@ -42,7 +42,7 @@
         run.run()
 
 
-@when("for 9 seconds one says in its answers that it leaves")
+@when("for 9 seconds one announces in its answers that it leaves")
 def play_leaving(context):
     play(context, leaves=True)
 
@@ -57,20 +57,20 @@
 
 
 async def told(world, number):
-    """Call until an answer says that its endpoint leaves."""
+    """Send calls until an answer announces that its endpoint leaves."""
     while LEAVES not in (await world.call("once", number=number)).headers:
         pass
 
 
 async def calls_reaching(world, endpoint, number):
-    """Return how many of some calls at a gateway reach an endpoint."""
+    """Send calls to a gateway, and return how many reach an endpoint."""
     before = len(endpoint.arrivals)
     for _ in range(CALLS):
         await world.call("once", number=number)
     return len(endpoint.arrivals) - before
 
 
-@when("an endpoint of the desk says in its answers that it leaves")
+@when("an endpoint of the desk announces in its answers that it leaves")
 def tell_leaving(context):
     async def script(world):
         await wait_for_peers(world)
@@ -84,25 +84,25 @@
     context.ingress.run(script)
 
 
-@then("the gateway that has passed on such an answer sends nothing more there")
+@then("the gateway that received such an answer sends nothing more there")
 def check_own(context):
     assert context.reached[0] == 0, context.reached
 
 
-@then("{seconds:g} s after it the other gateway doesn't, either")
+@then("{seconds:g} s later the other gateway sends nothing there, either")
 def check_other(context, seconds):
     assert context.reached[1] == 0, context.reached
 
 
 async def wait_until(condition):
-    """Wait for a condition, or until it is clear that it won't come."""
+    """Wait for a condition, for `SETTLE_SECONDS` at most."""
     with trio.move_on_after(SETTLE_SECONDS):
         while not condition():
             await trio.sleep(0.01)
 
 
 async def by_call(world, fault):
-    """Let each endpoint of the desk say it, with a fault in its next answer."""
+    """Let each endpoint of the desk announce it, with a fault in its next answer."""
     for endpoint in world.endpoints[:3]:
         endpoint.tells_leaving = True
         endpoint.faults = [fault] if fault else []
@@ -153,7 +153,7 @@
     context.execute_steps("Given a gateway before sound endpoints")
 
 
-@when("an endpoint says that it leaves in {answer}")
+@when("an endpoint announces that it leaves in {answer}")
 def tell_in(context, answer):
     async def script(world):
         endpoint = await WAYS[answer](world)
@@ -162,7 +162,7 @@
     context.ingress.run(script)
 
 
-@then("the gateway takes it for leaving")
+@then("the gateway marks it as leaving")
 def check_leaving(context):
     assert context.is_leaving
 
@@ -198,14 +198,14 @@
 
 
 NEWS = {
-    "its entry is written again, ready": write_again,
+    "its entry is written again as ready": write_again,
     "the store's list is read again": read_again,
-    "a peer's list says that it is ready": peer_says_ready,
-    "its entry goes, and is back after a time": lapse,
+    "a peer's list has it as ready": peer_says_ready,
+    "its entry is removed and added again": lapse,
 }
 
 
-@when("an endpoint has said that it leaves, and then {news}")
+@when("an endpoint has announced that it leaves, and then {news}")
 def tell_then(context, news):
     async def script(world):
         endpoint = await by_call(world, "")
@@ -215,7 +215,7 @@
     context.ingress.run(script)
 
 
-@when("another endpoint answers at an address with 421 and says that it leaves")
+@when("another endpoint answers at an address with 421 and announces that it leaves")
 def answer_elsewhere(context):
     async def script(world):
         other = world.endpoints[0]
@@ -234,12 +234,12 @@
     context.ingress.run(script)
 
 
-@then("the gateway takes that other one for ready")
+@then("the gateway still has that other endpoint as ready")
 def check_unblamed(context):
     assert not context.is_blamed
 
 
-@when("its engine says that it leaves in the answer to a question")
+@when("its engine announces that it leaves in the answer to a probe")
 def tell_beside_stream(context):
     async def script(world):
         context.reading = Reading(world, LONG_EVENTS, SMALL_SIZE)
@@ -253,7 +253,7 @@
     context.ingress.run(script)
 
 
-@then("the stream is moved and comes whole")
+@then("the stream is moved and delivered completely")
 def check_moved(context):
     reply = context.reading.reply
     assert reply.is_whole
@@ -262,7 +262,7 @@
     assert sum(e.continued["abc"] for e in others) == 1
 
 
-@when("an engine falls silent under a stream, and its report says that it leaves")
+@when("an engine's stream falls silent, and its report says that it leaves")
 def tell_in_silence(context):
     async def script(world):
         reading = Reading(world, LONG_EVENTS, SMALL_SIZE)
@@ -280,7 +280,7 @@
     context.ingress.run(script)
 
 
-@when("all endpoints of the desk have said that they leave")
+@when("all endpoints of the desk have announced that they leave")
 def tell_all(context):
     async def script(world):
         for endpoint in world.endpoints[:3]:
@@ -295,14 +295,14 @@
     context.ingress.run(script)
 
 
-@then("a call is refused within {seconds:g} s with 503 and a time to come back")
+@then("a call is refused within {seconds:g} s with 503 and a Retry-After header")
 def check_refused(context, seconds):
     assert context.reply.status == 503, vars(context.reply)
     assert float(context.reply.headers["retry-after"]) > 0
     assert context.seconds < seconds, context.seconds
 
 
-@then("an endpoint that a peer has told of leaves from its first entry on")
+@then("an endpoint that a peer reported as leaving is so from its first entry on")
 def check_told_early(context):
     directory = EndpointDirectory()
     endpoint = next(iter(fleet_of(1)))
--- a/features/steps/rest_steps.py
+++ b/features/steps/rest_steps.py
@@ -1,4 +1,4 @@
-"""Steps for endpoints that turn requests away and ask for rest."""
+"""Steps for endpoints that refuse requests and ask callers to back off."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 PAUSE_SECONDS = 0.01
 LATEST_COME_BACK = 1.25
-"""Callers are spread over so many times the rest."""
+"""Retries of callers are spread over up to this multiple of the backoff."""
 SERVICES = {"the desk": "desk", "the model": "model"}
 REST_SECONDS = 5.0
 STEP_SECONDS = 1 / 64
@@ -34,12 +34,12 @@
 """Prompt tokens of a stream that gets a backup."""
 
 
-@when("for 9 seconds one turns calls away and asks for {rest:g} s of rest")
+@when("for 9 seconds one refuses calls and requests a backoff of {rest:g} s")
 def play_rest(context, rest):
     play(context, rest=rest)
 
 
-@then("at most {most:d} calls of a gateway reach it within a rest")
+@then("at most {most:d} calls from one gateway reach it within a backoff")
 def check_rests(context, most):
     worst = [max(run.rest_arrivals()) for run in context.runs]
     assert max(worst) <= most, worst
@@ -51,7 +51,7 @@
     assert not any(refused), refused
 
 
-@when("an endpoint of the desk turns a call away and asks for {rest:g} s of rest")
+@when("an endpoint of the desk refuses a call and requests a backoff of {rest:g} s")
 def ask_rest(context, rest):
     async def script(world):
         endpoint = world.endpoints[0]
@@ -90,7 +90,9 @@
     assert {reply.status for reply in context.replies} == {200}
 
 
-@then('an answer of {status:d} with "{value}" asks for {rest}')
+@then(
+    'the backoff requested by a {status:d} answer with Retry-After "{value}" is {rest}'
+)
 def check_value(context, status, value, rest):
     headers = tuple((b"retry-after", v.encode()) for v in value.split(" and "))
     notice = PlatformDialect().read_notice(ResponseHead(status, headers))
@@ -100,7 +102,7 @@
         assert isclose(notice.rest_seconds, float(rest.removesuffix(" s"))), notice
 
 
-@then("a shorter rest that is asked for later doesn't end a longer one")
+@then("a later, shorter backoff doesn't end a longer one")
 def check_longest(context):
     rests = AskedRests()
     endpoint = next(iter(fleet_of(1)))
@@ -116,7 +118,7 @@
     assert len(rests) == 0
 
 
-@then("one incarnation's rest isn't its successor's")
+@then("a backoff of one incarnation doesn't apply to the next one")
 def check_successor(context):
     rests = AskedRests()
     endpoint = replace(next(iter(fleet_of(1))), born=1)
@@ -129,7 +131,7 @@
 
 
 def let_rest(world, standins, seconds):
-    """Let endpoints have asked a gateway for rest just now."""
+    """Record that endpoints have just requested a backoff of a gateway."""
     state = state_of(world)
     for standin in standins:
         identity = known(world, standin).identity
@@ -141,7 +143,7 @@
     return await world.call(kind, size=size, **named)
 
 
-@when("all endpoints of {service} ask for {rest:g} s of rest")
+@when("all endpoints of {service} request a backoff of {rest:g} s")
 def ask_all(context, service, rest):
     async def script(world):
         standins = standins_of(world, SERVICES[service])
@@ -163,8 +165,8 @@
 
 
 @then(
-    'a "{kind}" request is refused within {seconds:g} s, to come back when the first has'
-    " rested"
+    'a "{kind}" request is refused within {seconds:g} s, to retry when the first backoff'
+    " ends"
 )
 def check_come_back(context, kind, seconds):
     reply, started, ended = context.replies[kind]
@@ -176,12 +178,12 @@
     assert left <= come_back <= LATEST_COME_BACK * (context.first_end - started) + 0.01
 
 
-@then("none has got a request within its rest")
+@then("no endpoint got a request within its backoff")
 def check_none_within(context):
     assert all(len(standin.arrivals) == 1 for standin in context.standins)
 
 
-@when('a "{kind}" request comes {milliseconds:d} ms before the end of all rests')
+@when('a "{kind}" request comes {milliseconds:d} ms before the end of all backoffs')
 def send_before_end(context, kind, milliseconds):
     async def script(world):
         let_rest(world, world.endpoints, milliseconds / 1_000)
@@ -196,7 +198,7 @@
 
 
 def call_while(context, happens):
-    """Let something happen to the first endpoint while a call to it connects."""
+    """Call `happens` for the first endpoint to which a call connects, meanwhile."""
 
     async def script(world):
         state = state_of(world)
@@ -218,7 +220,7 @@
     context.ingress.run(script)
 
 
-@when("an endpoint asks for rest while a call to it connects")
+@when("an endpoint requests a backoff while a call to it connects")
 def ask_while_connecting(context):
     def rest(state, endpoint):
         state.rests.note(endpoint.identity, 1.0, trio.current_time())
@@ -235,7 +237,7 @@
     assert not context.is_ejected
 
 
-@when("an endpoint answers 503 with a time to rest and without a proof")
+@when("an endpoint answers 503 with Retry-After, without saying that nothing ran")
 def answer_unproven(context):
     async def script(world):
         endpoint = world.endpoints[0]
@@ -254,7 +256,7 @@
     context.ingress.run(script)
 
 
-@then("the caller isn't told that nothing has run, and the endpoint rests")
+@then("the caller isn't told that nothing has run, and the endpoint's backoff applies")
 def check_unproven(context):
     assert context.reply.status == 502, vars(context.reply)
     assert context.later.status == 503
@@ -262,7 +264,7 @@
 
 
 def crash_under_stream(context, prepare):
-    """Crash the engine of a large stream after `prepare` is called with its backup."""
+    """Call `prepare` with the backup of a large stream, then crash its engine."""
 
     async def script(world):
         context.reading = Reading(world, 300, LARGE_SIZE)
@@ -279,8 +281,8 @@
 
 
 @when(
-    "a caller reads a large stream, its backup has {rest:g} s to rest, and its engine"
-    " crashes"
+    "the engine of a large stream crashes {rest:g} s before the end of its backup's"
+    " backoff"
 )
 def crash_before_resting(context, rest):
     def prepare(world, backup):
@@ -290,13 +292,13 @@
     crash_under_stream(context, prepare)
 
 
-@then("the resting engine gets nothing within that time, and the stream ends {end}")
+@then("the backup gets nothing within that time, and the stream ends {end}")
 def check_continued(context, end):
     assert all(a.at >= context.rest_ends for a in context.backup.arrivals)
     assert context.reading.reply.is_whole == (end == "whole")
 
 
-@when("an endpoint asks for rest, and then a call is served")
+@when("an endpoint requests a backoff, and then a call is served")
 def serve_beside(context):
     output, context.log = tempfile.mkstemp()
     context.ingress.log_output = output
@@ -317,14 +319,12 @@
     assert started["resting"] == ["i-0"], started
 
 
-@when("for 9 seconds one turns calls away, of {rate:g} a second")
+@when("for 9 seconds one refuses calls without a backoff, at {rate:g} calls a second")
 def play_refusals(context, rate):
     play(context, rest=None, rate=rate)
 
 
-@when(
-    "an endpoint of the desk turns calls away while {count:d} come one after the other"
-)
+@when("an endpoint of the desk refuses calls while {count:d} come one after the other")
 def refuse_calls(context, count):
     async def script(world):
         endpoint = world.endpoints[0]
@@ -346,7 +346,7 @@
 
 
 @then(
-    "an endpoint that refuses is left out for {first:g} to {longest:g} s, and chosen if"
+    "an endpoint that refuses is ejected for {first:g} to {longest:g} s, and chosen if"
     " all refuse"
 )
 def check_left_out(context, first, longest):
@@ -371,11 +371,11 @@
 
 
 def count_up(start):
-    """Yield times in small steps."""
+    """Yield times from `start` on, in steps of `STEP_SECONDS`."""
     return (start + step * STEP_SECONDS for step in count())
 
 
-@then("it is still left out after {count:d} ejections")
+@then("it is still ejected after {count:d} ejections")
 def check_many(context, count):
     health, now = EndpointHealth(), 0.0
     for _ in range(count):
