--- a/features/cold_endpoints.feature
+++ b/features/cold_endpoints.feature
@@ -1,17 +1,17 @@
-Feature: Endpoints that have just started
+Feature: Slow start of endpoints
 
-  Scenario: the parts of all gateways
-    Then the parts of any number of gateways add up to what an endpoint bears
+  Scenario: quotas of all gateways
+    Then the quotas of any number of gateways add up to what an endpoint accepts
 
-  # A third of a service came back together, and everybody sent there: 3 times what it
-  # bears, in its worst second.
+  # A third of a service's endpoints returned together, and all gateways sent there: 3
+  # times the rate that cold endpoints can handle, in the worst second.
   Scenario Outline: <gateways> gateways before <endpoints> endpoints, <cold> of them cold
     Given <gateways> gateways before <endpoints> endpoints, <cold> of them cold
-    And cold endpoints bear <rate> requests a second
+    And cold endpoints can handle <rate> requests a second
     When <starts> requests come a second for <seconds> seconds
     Then no cold endpoint gets more than <rate> requests in any second
-    And the cold ones get at least <used> of what they bear
-    And nobody is refused while a warm endpoint is there
+    And the cold ones get at least <used> of what they can handle
+    And no request is refused while a warm endpoint is available
 
     Examples:
       | gateways | endpoints | cold | rate | starts | seconds | used |
@@ -20,20 +20,20 @@
       | 23       | 22        | 7    | 4    | 200    | 4       | 0.4  |
       | 410      | 300       | 100  | 32   | 9000   | 2       | 0.4  |
 
-  Scenario: some gateways are gone, and nobody has missed them yet
+  Scenario: some gateways have crashed, and their peers have not noticed yet
     Given 23 gateways before 22 endpoints, 7 of them cold
-    And cold endpoints bear 32 requests a second
-    And 8 of the gateways are gone
+    And cold endpoints can handle 32 requests a second
+    And 8 of the gateways have crashed
     When 900 requests come a second for 4 seconds
     Then no cold endpoint gets more than 32 requests in any second
 
   @not_run_means_not_run
-  Scenario: all endpoints of a service are cold and have what they bear
-    Given a gateway before cold endpoints that bear 2 requests a second each
+  Scenario: all endpoints of a service are cold and at their limit
+    Given a gateway before cold endpoints that can handle 2 requests a second each
     When 30 requests come at once
-    Then 6 of them run, and the others are refused at once, unrun
+    Then 6 of them run, and the others are refused at once as not run
     And 2 seconds later requests run again
 
-  Scenario: who tells that an endpoint is cold
-    Then what an entry says counts, and what a peer has seen, for its time
-    And an endpoint that a peer's list adds counts as cold for its service's time
+  Scenario: how gateways learn that an endpoint is cold
+    Then an endpoint is cold for the time in its entry or in a peer's report
+    And an endpoint added by a peer's list is cold for its service's cold start time
--- a/features/endpoint_rate_limits.feature
+++ b/features/endpoint_rate_limits.feature
@@ -1,31 +1,32 @@
-Feature: An endpoint names the rate that it takes from all gateways together
+Feature: Endpoints that advertise a rate limit for all gateways together
 
-  # Two of three endpoints named 2.4 and 1.7 requests a second and got 27 and 19 in 4 s.
-  Scenario: an endpoint gets more than the rate that it names, in virtual time
-    When one of 3 endpoints names its rate for 9 seconds
+  # Two of three endpoints advertised 2.4 and 1.7 requests a second, and got 27 and 19
+  # within 4 s.
+  Scenario: an endpoint gets more than its rate limit, in virtual time
+    When one of 3 endpoints advertises a rate limit for 9 seconds
       | gateways | rate | load |
       | 6        | 2.4  | 23   |
       | 24       | 1.8  | 60   |
       | 68       | 1.8  | 100  |
       | 6        | 0.3  | 23   |
-    Then it never gets more from gateways that know of it than it takes
+    Then gateways that know of the limit never send more than it allows
     And no call is refused
 
-  Scenario: an endpoint gets more than the rate that it names
+  Scenario: an endpoint gets more than its rate limit
     Given 2 gateways before sound endpoints
-    When an endpoint of the desk names 2 requests a second while calls come
-    Then it never gets more from gateways that know of it than it takes
+    When an endpoint of the desk advertises 2 requests a second while calls come
+    Then gateways that know of the limit never send more than it allows
     And all calls are served
 
-  Scenario: all gateways together send at most what an endpoint takes
+  Scenario: all gateways together respect a rate limit
     Then in any 4 s they send at most 4 times the rate, however many they are
-    And each of them has a part in it if there are enough requests
+    And each of them has a quota if there are enough requests
 
-  Scenario: gateways start and end while an endpoint is limited
-    Then no span of 4 s holds more than is allowed while single gateways come and go
+  Scenario: gateways start and stop while an endpoint is limited
+    Then no span of 4 s has more requests than allowed while single gateways come and go
 
-  Scenario Outline: what names a rate and what doesn't
-    Then an answer of <status> with the rate "<value>" names <rate>
+  Scenario Outline: which answers advertise a rate limit
+    Then a <status> answer with the rate "<value>" advertises <rate>
 
     Examples:
       | status | value       | rate    |
@@ -43,58 +44,59 @@
       | 200    | soon        | nothing |
       | 421    | 2.4         | nothing |
 
-  Scenario: an unreadable rate leaves the last one in force
+  Scenario: an invalid rate leaves the last one in force
     Given 1 gateway before sound endpoints
-    When an endpoint names 2 requests a second and then "soon"
+    When an endpoint advertises 2 requests a second and then "soon"
     Then it is limited to 2 requests a second
 
-  Scenario: what ends a limit
-    Then an answer without a rate ends a limit, unless it has crossed one that named it
+  Scenario: which answers end a limit
+    Then an answer without a rate ends a limit, unless it overlaps one that advertised it
     And an answer that belongs to no request doesn't end it
-    And one incarnation's limit isn't its successor's
+    And a limit of one incarnation doesn't apply to the next one
 
-  Scenario: a gateway hears of a limit from its peers
-    Then the latest answer counts, whichever gateway got it
-    And a report without the latest is read, and a faulty one refused with its code
+  Scenario: peers report a limit
+    Then the latest answer counts, whichever gateway received it
+    And reports with rate limits are decoded, and invalid ones refused with their code
 
-  Scenario: nobody has sent anything to a limited endpoint for a while
-    Then one gateway after the other asks whether the limit still holds
+  Scenario: no request was sent to a limited endpoint for a while
+    Then one gateway after the other probes whether the limit still applies
 
-  Scenario: an endpoint that takes no requests at all
+  Scenario: an endpoint that accepts no requests at all
     Then it gets one each 10 s from all gateways together
 
   Scenario Outline: all endpoints of <service> are limited
     Given 1 gateway before sound endpoints
-    When all endpoints of <service> name 1 request a second, and 6 come at once
-    Then some are served and the others refused within 0.2 s as unrun
-    And each is told another time to come back
+    When all endpoints of <service> advertise 1 request a second, and 6 come at once
+    Then some are served and the others refused within 0.2 s as not run
+    And each refusal has another Retry-After
 
     Examples:
       | service   |
       | the desk  |
       | the model |
 
-  # Callers were told that all endpoints rest, and no time where there is no part in 0.
-  Scenario: all endpoints take no requests at all, and a caller is told when to come back
+  # The refusal said that all endpoints had requested backoffs, and a gateway without a
+  # quota sent no Retry-After.
+  Scenario: all endpoints accept no requests at all, and a caller is told when to retry
     Given 2 gateways before sound endpoints
-    When all endpoints of the desk name 0 requests a second, and a call comes to each gateway
-    Then each is refused with endpoints_limited, to come back within 30 s
+    When all endpoints of the desk advertise a rate of 0, and a call comes to each gateway
+    Then each is refused with endpoints_limited, to retry within 30 s
 
-  Scenario: a call waits for its connection when its endpoint names its rate
+  Scenario: a rate limit is advertised while a call connects to the endpoint
     Given 1 gateway before sound endpoints
-    When an endpoint turns out to be limited while a call to it connects
+    When an endpoint's rate limit is reached while a call to it connects
     Then the call is served elsewhere
 
-  Scenario: a stream breaks off, and its backup takes no more requests now
+  Scenario: a stream breaks off while the rate limit of its backup is reached
     Given 2 engines
-    When a caller reads a large stream, its backup has got all it takes, and its engine crashes
-    Then the limited engine gets nothing, and the stream ends not whole
+    When the engine of a large stream crashes while its backup's rate limit is reached
+    Then the limited engine gets nothing, and the stream ends incomplete
 
-  Scenario: an endpoint is limited when backups and moves look for a place
-    Then a limited endpoint gets no backup, and no move beyond its rate
+  Scenario: rate limits apply to backups and moves
+    Then an endpoint whose rate limit is reached gets no backup and no move
 
-  Scenario: why an endpoint was passed over
+  Scenario: the log shows why an endpoint was skipped
     Given 1 gateway before sound endpoints
-    When an endpoint has got all that it takes, and then a call is served
+    When an endpoint's rate limit is reached, and then a call is served
     Then the log of that call names the endpoint as limited
-    And the log tells the limit and this gateway's part of it
+    And the log has the limit and this gateway's quota of it
--- a/features/steps/cold_endpoint_steps.py
+++ b/features/steps/cold_endpoint_steps.py
@@ -24,7 +24,7 @@
 COLD_START_SECONDS = 1.5
 
 
-@then("the parts of any number of gateways add up to what an endpoint bears")
+@then("the quotas of any number of gateways add up to what an endpoint accepts")
 def check_parts(context):
     @checked(st.integers(0, 100), st.integers(1, 500))
     def check(rate, gateways):
@@ -34,7 +34,7 @@
 
 
 class ColdFleet:
-    """Gateways that choose cold endpoints first, since these look empty."""
+    """Gateways that prefer cold endpoints, since these look empty."""
 
     def __init__(self, gateways, endpoints, cold):
         listed = list(fleet_of(endpoints))
@@ -51,7 +51,7 @@
         self.refused = 0
 
     def bear(self, rate):
-        """Set the service up, and each gateway's view."""
+        """Configure the service's cold rate, and set up each gateway's view."""
         spec = ServiceSpec("model", ENGINE, LONG_COLD_SECONDS, float(rate))
         self.configuration.offer(ServingConfiguration(1, {}, {"model": spec}, {}))
         for host in self.hosts:
@@ -64,7 +64,7 @@
             self.views[host] = (subsets.own("model"), starts)
 
     def serve(self, rate, seconds):
-        """Place requests at random gateways; they arrive a little later."""
+        """Send requests through random gateways; they arrive after a short delay."""
         random = Random(3)
         now = 0.0
         while now < seconds:
@@ -81,7 +81,7 @@
             self.arrivals[chosen.identity].append(now + delay)
 
     def most_in_a_second(self, identity):
-        """Return the most arrivals that any second has."""
+        """Return the maximum number of arrivals in any second."""
         times = sorted(self.arrivals[identity])
         first, most = 0, 0
         for last, at in enumerate(times):
@@ -96,13 +96,13 @@
     context.cold_fleet = ColdFleet(gateways, endpoints, cold)
 
 
-@given("cold endpoints bear {rate:d} requests a second")
+@given("cold endpoints can handle {rate:d} requests a second")
 def given_rate(context, rate):
     context.cold_fleet.bear(rate)
     context.rate = rate
 
 
-@given("{count:d} of the gateways are gone")
+@given("{count:d} of the gateways have crashed")
 def given_gone(context, count):
     del context.cold_fleet.living[:count]
 
@@ -120,7 +120,7 @@
     assert 0 < worst <= rate, worst
 
 
-@then("the cold ones get at least {share:g} of what they bear")
+@then("the cold ones get at least {share:g} of what they can handle")
 def check_used(context, share):
     fleet = context.cold_fleet
     sent = sum(len(fleet.arrivals[identity]) for identity in fleet.cold)
@@ -128,12 +128,14 @@
     assert sent >= share * borne, sent / borne
 
 
-@then("nobody is refused while a warm endpoint is there")
+@then("no request is refused while a warm endpoint is available")
 def check_none_refused(context):
     assert context.cold_fleet.refused == 0
 
 
-@given("a gateway before cold endpoints that bear {rate:d} requests a second each")
+@given(
+    "a gateway before cold endpoints that can handle {rate:d} requests a second each"
+)
 def given_cold_desk(context, rate):
     world = context.ingress = IngressWorld()
     world.add_endpoints("desk", 3)
@@ -160,7 +162,7 @@
     context.ingress.run(script)
 
 
-@then("{count:d} of them run, and the others are refused at once, unrun")
+@then("{count:d} of them run, and the others are refused at once as not run")
 def check_run(context, count):
     statuses = [reply.status for reply in context.replies]
     assert statuses.count(200) == count == context.runs, statuses
@@ -183,7 +185,7 @@
     return ColdStarts(shares, configuration)
 
 
-@then("what an entry says counts, and what a peer has seen, for its time")
+@then("an endpoint is cold for the time in its entry or in a peer's report")
 def check_told(context):
     starts, (seen, told) = cold_starts(), fleet_of(2)
     starts.note_entry(replace(seen, cold_seconds=2.0), 10.0)
@@ -191,14 +193,15 @@
     assert starts.report(11.0) == {seen.identity: 1.0}
     starts.take_report({told.identity: 3.0}, 11.0)
     assert starts.is_cold(told.identity, 13.9)
-    # Only those that saw it tell of it: else it would go round without an end.
+    # Only the gateway that read the entry reports it, else reports would circulate
+    # forever.
     assert starts.report(11.0) == {seen.identity: 1.0}
     assert not starts.is_cold(seen.identity, 12.0)
     assert not starts.is_cold(told.identity, 14.0)
     assert starts.report(14.0) == {}
 
 
-@then("an endpoint that a peer's list adds counts as cold for its service's time")
+@then("an endpoint added by a peer's list is cold for its service's cold start time")
 def check_added(context):
     starts, (added,) = cold_starts(), fleet_of(1)
     starts.note_started(added, 10.0)
--- a/features/steps/drained_hall_steps.py
+++ b/features/steps/drained_hall_steps.py
@@ -22,9 +22,9 @@
 
 KIND = "evacuations"
 KNOWN_SECONDS = 3.0
-"""Longest time until all gateways know of a drain; the users allow 5 s."""
+"""Timeout until all gateways know of a drain; the requirement is 5 s."""
 LARGE_SIZE = "11000,{}"
-"""Prompt tokens that get a backup."""
+"""Prompt tokens of a stream that gets a backup."""
 LATER_REQUESTS = 20
 
 
@@ -60,7 +60,7 @@
 
 
 async def wait_drained(world, *data_halls):
-    """Wait until all gateways have heard of just these drained halls."""
+    """Wait until all gateways know exactly these data halls as drained."""
     wanted = frozenset(data_halls)
     with trio.move_on_after(KNOWN_SECONDS):
         for _, daemon in world.gateways.values():
@@ -71,7 +71,7 @@
 
 
 async def send_all(world):
-    """Return the statuses of later requests at each gateway, and who got them."""
+    """Send requests to each gateway; return replies and the data halls they reached."""
     for endpoint in world.endpoints:
         endpoint.arrivals.clear()
     replies = []
@@ -84,7 +84,7 @@
 
 
 def play(context, happen):
-    """Play what happens, and send requests to each gateway after it."""
+    """Run `happen`, then send requests to each gateway."""
 
     async def script(world):
         await happen(world)
@@ -94,13 +94,13 @@
 
 
 async def drain_known(world):
-    """Drain ikeja, and wait until all gateways know."""
+    """Drain ikeja, and wait until all gateways know of it."""
     drain(world, "ikeja")
     await wait_drained(world, "ikeja")
 
 
 async def take_back(world):
-    """Drain ikeja and take it back, and wait until all gateways know."""
+    """Drain and undrain ikeja, and wait until all gateways know of it."""
     await drain_known(world)
     world.store.remove(KIND, "ikeja")
     await wait_drained(world)
@@ -131,7 +131,7 @@
     play(context, happen)
 
 
-@when("ikeja is drained again after it was taken back")
+@when("ikeja is drained again after it was undrained")
 def drain_again(context):
     async def happen(world):
         await take_back(world)
@@ -140,7 +140,7 @@
     play(context, happen)
 
 
-@when("ikeja is drained while watches hear nothing and history is dropped")
+@when("ikeja is drained while watches get nothing and history is dropped")
 def drain_in_gap(context):
     async def happen(world):
         world.store.is_deaf = True
@@ -154,7 +154,7 @@
     play(context, happen)
 
 
-@when("ikeja is drained, the store goes out and a third gateway starts")
+@when("ikeja is drained, the store fails and a third gateway starts")
 def drain_then_start(context):
     async def happen(world):
         await wait_for_peers(world)
@@ -172,7 +172,7 @@
     assert context.halls == {"lekki"}
 
 
-@when("ikeja is drained and taken back")
+@when("ikeja is drained and undrained")
 def drain_and_take_back(context):
     play(context, take_back)
 
@@ -180,7 +180,8 @@
 @then("both gateways send requests to ikeja again")
 def check_taken_back(context):
     assert {reply.status for reply in context.replies} == {200}
-    # Both gateways are in ikeja, and prefer it: one alone sends half of the requests.
+    # Both gateways are in ikeja and prefer it. Half of the requests could come from
+    # one gateway alone.
     arrivals = (e.arrivals for e in context.ingress.endpoints if e.data_hall == "ikeja")
     assert sum(map(len, arrivals)) > len(context.replies) / 2
 
@@ -198,7 +199,7 @@
     context.ingress.run(script)
 
 
-@then("requests are refused at once with a time to come back, and haven't run")
+@then("requests are refused at once with a Retry-After header, and haven't run")
 def check_refused(context):
     assert {reply.status for reply in context.replies} == {503}
     assert all(float(r.headers["retry-after"]) > 0 for r in context.replies)
@@ -206,7 +207,7 @@
     assert context.seconds < 0.2, context.seconds
 
 
-@when("a stream of {count:d} events runs in a hall that is drained midway")
+@when("a stream of {count:d} events runs in a data hall that is drained midway")
 def drain_midway(context, count):
     async def script(world):
         context.count = count
@@ -221,7 +222,7 @@
     context.ingress.run(script)
 
 
-@then("it ends whole where it began, and no copy or question went to a drained hall")
+@then("it completes where it began, without copies or probes in a drained data hall")
 def check_stayed(context):
     world = context.ingress
     assert context.reading.reply.events == list(range(1, context.count + 1))
@@ -231,7 +232,7 @@
     assert not any(endpoint.reports for endpoint in world.endpoints)
 
 
-@when("a stream's backup's data hall is drained, and its endpoint crashes")
+@when("the data hall of a stream's backup is drained, and its endpoint crashes")
 def drain_backup(context):
     async def script(world):
         context.reading = Reading(world, 400, LARGE_SIZE)
@@ -250,14 +251,14 @@
     context.ingress.run(script)
 
 
-@then("the drained hall gets nothing of it")
+@then("the drained data hall gets none of its requests")
 def check_backup_unused(context):
     assert not context.backup.arrivals
     assert not context.reading.reply.is_whole
 
 
 class _NoFeed:
-    """A feed of a store that is never asked."""
+    """A feed of a store that is never used."""
 
     heard_at = 0.0
 
@@ -272,7 +273,7 @@
 )
 
 
-@then("the view with the highest revision holds, whoever told it")
+@then("the view with the highest revision is valid, whatever its source")
 def check_views(context):
     @checked(VIEWS)
     def check(drawn):
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps for endpoints that name the rate that they take."""
+"""Steps for endpoints that advertise a rate limit."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 IDENTITY = ENDPOINT.identity
 
 
-@when("one of 3 endpoints names its rate for 9 seconds")
+@when("one of 3 endpoints advertises a rate limit for 9 seconds")
 def play_rates(context):
     context.runs, context.counted = [], []
     for row in context.table:
@@ -66,7 +66,7 @@
             context.counted.append((run.most_at_limited(), allowed_requests(rate)))
 
 
-@when("an endpoint of the desk names {rate:g} requests a second while calls come")
+@when("an endpoint of the desk advertises {rate:g} requests a second while calls come")
 def name_rate(context, rate):
     async def script(world):
         await wait_for_peers(world)
@@ -85,13 +85,13 @@
     context.ingress.run(script)
 
 
-@then("it never gets more from gateways that know of it than it takes")
+@then("gateways that know of the limit never send more than it allows")
 def check_rate(context):
     assert all(most <= allowed for most, allowed in context.counted), context.counted
 
 
 def limits_of(gateways):
-    """Return the view of each of some gateways of one endpoint."""
+    """Return each gateway's `EndpointRateLimits`, in a fleet with one endpoint."""
     directory = EndpointDirectory()
     for listed in fleet_of(1):
         directory.put(listed)
@@ -126,7 +126,7 @@
         assert most <= WINDOW_SECONDS * rate, (most, rate)
 
 
-@then("each of them has a part in it if there are enough requests")
+@then("each of them has a quota if there are enough requests")
 def check_parts(context):
     @checked(st.floats(0.01, 500), st.integers(1, 500))
     def check(rate, gateways):
@@ -135,7 +135,7 @@
         assert quota.requests <= max(1, rate * quota.window)
 
 
-@then("no span of 4 s holds more than is allowed while single gateways come and go")
+@then("no span of 4 s has more requests than allowed while single gateways come and go")
 def check_membership(context):
     @checked(
         st.floats(0.3, 60),
@@ -162,7 +162,7 @@
         assert most_in_window(sent, 0.0) <= allowed_requests(rate)
 
 
-@then('an answer of {status:d} with the rate "{value}" names {rate}')
+@then('a {status:d} answer with the rate "{value}" advertises {rate}')
 def check_value(context, status, value, rate):
     limits = [(b"server-limit", v.encode()) for v in value.split(" and ")]
     head = ResponseHead(status, (*limits, (b"attempt-id", b"a")))
@@ -173,7 +173,7 @@
         assert notice.rate_limit == float(rate), notice
 
 
-@when('an endpoint names 2 requests a second and then "{value}"')
+@when('an endpoint advertises 2 requests a second and then "{value}"')
 def name_unreadable(context, value):
     async def script(world):
         endpoint = world.endpoints[0]
@@ -197,7 +197,9 @@
     assert context.rate == rate, context.rate
 
 
-@then("an answer without a rate ends a limit, unless it has crossed one that named it")
+@then(
+    "an answer without a rate ends a limit, unless it overlaps one that advertised it"
+)
 def check_end(context):
     (view,) = limits_of(1)
     assert not view.record_answer(IDENTITY, UNLIMITED, 9.0)
@@ -221,7 +223,7 @@
     assert dialect.read_notice(ResponseHead(421, named)) == NO_NOTICE
 
 
-@then("one incarnation's limit isn't its successor's")
+@then("a limit of one incarnation doesn't apply to the next one")
 def check_successor(context):
     (view,) = limits_of(1)
     first, second = replace(ENDPOINT, born=1), replace(ENDPOINT, born=2)
@@ -230,13 +232,13 @@
     assert not view.is_limited(second.identity)
 
 
-@then("the latest answer counts, whichever gateway got it")
+@then("the latest answer counts, whichever gateway received it")
 def check_peers(context):
     first, second = limits_of(2)
     first.record_answer(IDENTITY, 2.0, 10.0)
     assert list(second.apply_report(first.report(10.2), 10.2)) == [IDENTITY]
     assert second.rate(IDENTITY) == 2.0
-    assert second.report(10.3) == {}, "what a peer told is passed on"
+    assert second.report(10.3) == {}, "a peer's report is passed on"
     second.record_answer(IDENTITY, UNLIMITED, 11.0)
     assert list(second.apply_report(first.report(11.1), 11.1)) == []
     assert list(first.apply_report(second.report(11.1), 11.1)) == [IDENTITY]
@@ -245,7 +247,7 @@
     assert list(first.limited()) == []
 
 
-@then("a report without the latest is read, and a faulty one refused with its code")
+@then("reports with rate limits are decoded, and invalid ones refused with their code")
 def check_reports(context):
     named = {IDENTITY: RateReport(2.4, 0.25), "i-9": RateReport(UNLIMITED, 1.5)}
     report = replace(plain_report(), rate_limits=named)
@@ -280,7 +282,7 @@
     )
 
 
-@then("one gateway after the other asks whether the limit still holds")
+@then("one gateway after the other probes whether the limit still applies")
 def check_asked(context):
     views = limits_of(4)
     for view in views:
@@ -292,8 +294,8 @@
             has_part = bool(view.part(ENDPOINT).requests)
             if not has_part and view.claim(ENDPOINT, now):
                 asked.append((number, now))
-    assert len(asked) == 3, "those without a part ask once each"
-    assert len({at for _, at in asked}) == 3, "they ask at the same time"
+    assert len(asked) == 3, "gateways without a quota must probe once each"
+    assert len({at for _, at in asked}) == 3, "gateways probe at the same time"
     assert min(at for _, at in asked) >= UNCONFIRMED_SECONDS
 
 
@@ -310,11 +312,13 @@
                 for other in views:
                     other.record_answer(IDENTITY, 0.0, tenth / 10)
     gaps = [later - earlier for earlier, later in pairwise(sent)]
-    assert sent, "nobody finds out when that is over"
+    assert sent, "no gateway probes whether the limit has ended"
     assert min(gaps) >= UNCONFIRMED_SECONDS, gaps
 
 
-@when("all endpoints of {service} name 1 request a second, and {count:d} come at once")
+@when(
+    "all endpoints of {service} advertise 1 request a second, and {count:d} come at once"
+)
 def limit_all(context, service, count):
     async def script(world):
         name = SERVICES[service]
@@ -339,8 +343,7 @@
 
 
 @when(
-    "all endpoints of the desk name 0 requests a second, and a call comes to each"
-    " gateway"
+    "all endpoints of the desk advertise a rate of 0, and a call comes to each gateway"
 )
 def take_nothing(context):
     async def script(world):
@@ -357,7 +360,7 @@
     context.ingress.run(script)
 
 
-@then("each is refused with {code}, to come back within {seconds:g} s")
+@then("each is refused with {code}, to retry within {seconds:g} s")
 def check_come_back(context, code, seconds):
     for reply in context.replies:
         assert reply.status == 503, vars(reply)
@@ -365,7 +368,7 @@
         assert 0 < float(reply.headers["retry-after"]) <= seconds, reply.headers
 
 
-@then("some are served and the others refused within {seconds:g} s as unrun")
+@then("some are served and the others refused within {seconds:g} s as not run")
 def check_some_served(context, seconds):
     assert {reply.status for reply in context.replies} == {200, 503}
     refused = [reply for reply in context.replies if reply.status == 503]
@@ -373,30 +376,27 @@
     assert max(context.seconds) < seconds, context.seconds
 
 
-@then("each is told another time to come back")
+@then("each refusal has another Retry-After")
 def check_spread(context):
     refused = [reply for reply in context.replies if reply.status == 503]
     times = [float(reply.headers["retry-after"]) for reply in refused]
     assert len(set(times)) == len(times), times
 
 
-@when("an endpoint turns out to be limited while a call to it connects")
+@when("an endpoint's rate limit is reached while a call to it connects")
 def limit_while_connecting(context):
     call_while(context, use_up)
 
 
 def use_up(state, endpoint):
-    """Let an endpoint have got all that it takes for now."""
+    """Use up a gateway's quota at an endpoint that advertises a rate limit."""
     now = trio.current_time()
     state.limits.record_answer(endpoint.identity, 0.5, now)
     while state.limits.claim(endpoint, now):
         pass
 
 
-@when(
-    "a caller reads a large stream, its backup has got all it takes, and its engine"
-    " crashes"
-)
+@when("the engine of a large stream crashes while its backup's rate limit is reached")
 def crash_before_limited(context):
     def prepare(world, backup):
         use_up(state_of(world), known(world, backup))
@@ -404,13 +404,13 @@
     crash_under_stream(context, prepare)
 
 
-@then("the limited engine gets nothing, and the stream ends not whole")
+@then("the limited engine gets nothing, and the stream ends incomplete")
 def check_not_continued(context):
     assert not context.backup.arrivals
     assert not context.reading.reply.is_whole
 
 
-@then("a limited endpoint gets no backup, and no move beyond its rate")
+@then("an endpoint whose rate limit is reached gets no backup and no move")
 def check_no_backup(context):
     directory = EndpointDirectory()
     endpoints = list(fleet_of(3))
@@ -427,7 +427,7 @@
     assert list(limits.limited()) == [endpoints[0].identity]
 
 
-@when("an endpoint has got all that it takes, and then a call is served")
+@when("an endpoint's rate limit is reached, and then a call is served")
 def serve_beside(context):
     output, context.log = tempfile.mkstemp()
     context.ingress.log_output = output
@@ -455,7 +455,7 @@
     assert started[-1]["limited"] == ["i-0"], started[-1]
 
 
-@then("the log tells the limit and this gateway's part of it")
+@then("the log has the limit and this gateway's quota of it")
 def check_limit_log(context):
     event = next(
         e for e in events_of(context) if e["event"] == "endpoint_limit_changed"
