--- a/features/crashing_requests.feature
+++ b/features/crashing_requests.feature
@@ -1,24 +1,21 @@
-Feature: A request that crashes whoever runs it
-
-  # Seven engines crashed within 16 s and thirteen within 9 s, each under the same short
-  # generation of 882 prompt tokens, and with each crash the reviews that the engine ran
-  # broke off. Gateways refused or retried nothing wrongly: seven ids at four gateways had
-  # one attempt each ("stream_broken_off cba8d4f6dbb67351 last_event 0 seconds 0.2054" at
-  # i-1e186d6654, then 7b4b9f6ebffaf6a1 at i-ad926aebbc, b0598aa54c7da7c1 at i-51120dacf7).
-  # Nothing told that these were one request: an id is new with each try of a caller, and
-  # what a request had done was forgotten with its answer, here and at the peers.
-  Scenario: it comes again and again at any gateway, in virtual time
+Feature: Quarantine for requests that crash endpoints
+
+  # Seven engines crashed within 16 s and thirteen within 9 s, each while it ran the same
+  # short generation of 882 prompt tokens; each crash also broke off the reviews that the
+  # engine ran. Each gateway sent each request once, but the caller retried under a new id
+  # each time, and gateways kept no record of crashes by the request's content.
+  Scenario: it is sent again and again to any gateway, in virtual time
     Given 6 gateways before 7 engines, 6 generations a second
-    When for 90 seconds a request comes each 1.5 s that crashes the engines that run it
-    Then at most 3 engines end under it
+    When for 90 seconds a request that crashes engines is sent every 1.5 s
+    Then it crashes at most 3 engines
 
-  Scenario: it comes again under new ids at three gateways
+  Scenario: it is sent under new ids to three gateways
     Given 3 gateways before 9 engines
-    When a caller sends a request that crashes engines 9 times, each time elsewhere
+    When a caller sends a request that crashes engines 9 times, to gateways in turn
     Then at most 3 engines have crashed
     And the last 5 answers say that it has not run
 
-  Scenario: three gateways see a crash each at the same moment
+  Scenario: three gateways observe a crash each at the same time
     Given 3 gateways before 9 engines
     When a request that crashes engines is sent to all gateways at once, then 4 times
     Then at most 3 engines have crashed
@@ -26,7 +23,7 @@
 
   Scenario: a gateway starts after the crashes
     Given 3 gateways before 9 engines
-    When a request that crashes engines is sent 4 times, then to a gateway that starts
+    When a request that crashes engines is sent 4 times, then to a new gateway
     Then at most 3 engines have crashed
     And the last 1 answers say that it has not run
 
@@ -34,39 +31,40 @@
     Given 1 gateway before 6 endpoints of the desk, up to 5 for each call
     When a caller sends a call that crashes them
     Then at most 2 endpoints have crashed
-    And the call is answered 502 without a time to come back
+    And the call is answered 502 without a Retry-After header
 
-  Scenario: other requests of the same caller while one is held
+  Scenario: other requests of the same caller while one is quarantined
     Given 3 gateways before 9 engines
-    When a request that crashes engines is held, and then others are sent
-    Then the held one is refused within 0.2 s with 429 and the time of the next probe
+    When a request that crashes engines is quarantined, and then others are sent
+    Then it is refused within 0.2 s with 429 and the time of the next probe
     And those with another body or another path are served
 
-  Scenario: an engine goes from the list and starts anew, and refuses no connection
+  Scenario: an engine's entry is removed, and it restarts without refusing connections
     Then a request that had just begun there is suspected, and a long one isn't
 
-  Scenario Outline: <news> reach gateways late, twice, in any order or not at all
-    Then with <news> all gateways that hear of everything agree
+  Scenario Outline: reports of <news> are late, repeated, reordered or lost
+    Then after reports of <news> all gateways that receive everything agree
 
     Examples:
       | news                |
       | crashes             |
       | crashes and excuses |
 
-  Scenario: many endpoints fail, and no request is at fault
-    Then no request is held when a whole hall crashes while its callers come again
-    And no request is held when a third of the engines is killed twice
-    And no stream is held that three engines lost after it had run for 2 s there
+  Scenario: many endpoints fail, and no request is the cause
+    Then no request is quarantined when a data hall crashes and its callers retry
+    And no request is quarantined when a third of the engines is killed twice
+    And no stream is quarantined that three engines lost after it had run for 2 s
 
-  # An endpoint with all the connections that it bears closes each further one at once.
+  # An endpoint at its limit of connections closes each further one immediately.
   Scenario: endpoints close new connections, since they have too many
     Given 1 gateway before 6 endpoints of the desk, up to 2 for each call
     When a caller sends a call 3 times while they close new connections, and once later
     Then the last one is served
-  # One answer cut short excused a request, and ten engines more crashed under it.
-  Scenario Outline: an answer that no caller gets excuses a request
+
+  # One truncated answer cleared a request of its crashes, and it crashed ten more engines.
+  Scenario Outline: an answer that no caller gets clears a request of crashes
     Given 6 endpoints of <service> behind 1 gateway
-    When <service> answers a crashing request with "<answer>" once, and it comes 5 times more
+    When <service> answers a crashing request with "<answer>" once, and it is sent 5 times more
     Then at most 2 endpoints have crashed
 
     Examples:
@@ -75,8 +73,9 @@
       | the desk  | no seal  |
       | the desk  | encoded  |
 
-  # Nobody was suspected of 11 crashes of 12, and the request was never held.
-  Scenario Outline: the port of an endpoint that crashes <does> connections for a moment
+  # No request was suspected of 11 of 12 crashes, and the request that caused them was never
+  # quarantined.
+  Scenario Outline: the port of a crashing endpoint <does> connections for a moment
     Given 6 endpoints of the model behind 1 gateway
     When its endpoints' ports <do> connections for 0.15 s after a crash, and a request crashes them
     Then at most 2 endpoints have crashed
@@ -86,26 +85,26 @@
       | closes | close |
       | takes  | take  |
 
-  Scenario: many ask for the same, and another request crashes the engines
-    Then what has run well in the last 30 s is not held, whoever hears of the crashes first
+  Scenario: many callers send one request while another one crashes the engines
+    Then a request that completed in the last 30 s is not quarantined by any gateway
 
-  Scenario: engines have been mended
-    Then a held request is let through after 30 s, once in the whole fleet, and excused
+  Scenario: engines have been fixed
+    Then a quarantined request is probed after 30 s, once in the whole fleet, and cleared
 
   Scenario: engines crash under a flood of different requests
-    Then of 5000 suspected requests 2048 are remembered, and those that are held
+    Then of 5000 suspected requests 2048 are remembered, and those in quarantine
 
-  Scenario: whatever peers send
-    Then notes of crashes are read or refused with their code
+  Scenario: peers send any datagrams
+    Then crash reports are decoded or refused with their code
 
-  # The product's own interface retried at one engine after the other.
+  # The product's own interface retried a generation on one engine after the other.
   Scenario: generations of the product's own interface
-    When an order is sent under which each engine of 6 is lost
+    When an order is sent that loses each of 6 engines
     Then 2 engines were lost, and the caller is told engine_lost
-    And the next order of that content is refused at once with quarantined, unrun
+    And the next order of that content is refused at once with quarantined as not run
 
-  # The last refusal was taken for a new one as long as there were retries: one order spent
-  # all 50 without being sent anywhere.
+  # When no engine was left, the last refusal was handled as a new one as long as there were
+  # retries: one order spent all 50 without being sent anywhere.
   Scenario: an order that every engine has refused spends no more retries
     When an order is sent that each engine of 6 refuses
     Then 6 retries were spent at most, and the caller is told queue_full
--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests that crash whoever runs them."""
+"""Steps for requests that crash the endpoints that run them."""
 
 from __future__ import annotations
 
@@ -18,20 +18,17 @@
 SEED = 30
 SMALL = "100,40"
 NEWS_SECONDS = 0.5
-"""Gateways of a small fleet tell each other of a crash within some ms."""
+"""Time for crash reports to reach all gateways; a small fleet needs some ms."""
 
 
-@when(
-    "for {seconds:g} seconds a request comes each {gap:g} s that crashes the engines"
-    " that run it"
-)
+@when("for {seconds:g} seconds a request that crashes engines is sent every {gap:g} s")
 def play_crashes(context, seconds, gap):
     settings = FleetSettings(DEFAULT_PLACEMENT, seconds, rate=6.0, refuses=True)
     context.run = CrashRun(settings, SEED, CrashSettings(gap))
     context.run.run()
 
 
-@then("at most {most:d} engines end under it")
+@then("it crashes at most {most:d} engines")
 def check_ended(context, most):
     assert len(context.run.crashes) <= most, context.run.crashes
 
@@ -47,7 +44,7 @@
 KINDS = {"the model": "stream", "the desk": "once"}
 TIMES = 5
 CHECKED_SECONDS = 1.0
-"""By then a gateway knows whether an endpoint has crashed."""
+"""Time after which a gateway knows whether an endpoint has crashed."""
 
 
 @given("{count:d} endpoints of {service} behind 1 gateway")
@@ -65,7 +62,8 @@
 
 
 @when(
-    '{service} answers a crashing request with "{answer}" once, and it comes 5 times more'
+    '{service} answers a crashing request with "{answer}" once, and it is sent 5 times'
+    " more"
 )
 def answer_unusably(context, service, answer):
     async def script(world):
@@ -104,14 +102,14 @@
 
 
 async def send_in_turn(context, times):
-    """Send the request to one gateway after the other, when each knows the news."""
+    """Send the request to gateways in turn, waiting for crash reports in between."""
     for turn in range(times):
         await send_crashing(context, turn % len(context.ingress.gateways))
         await trio.sleep(NEWS_SECONDS)
 
 
 def with_own_halls(world):
-    """Let each gateway find the next engine in a data hall of its own."""
+    """Place a different engine in each gateway's own data hall."""
     for number, (_, daemon) in world.gateways.items():
         near = world.endpoints[number].identity
         directory = daemon._state.directory
@@ -132,7 +130,7 @@
 
 
 @when(
-    "a caller sends a request that crashes engines {times:d} times, each time elsewhere"
+    "a caller sends a request that crashes engines {times:d} times, to gateways in turn"
 )
 def send_elsewhere(context, times):
     async def script(world):
@@ -151,7 +149,7 @@
             for number in world.gateways:
                 nursery.start_soon(send_crashing, context, number)
         crashed = [e for e in world.endpoints if e.crashed_at is not None]
-        assert len(crashed) == len(world.gateways), "one engine crashed for two"
+        assert len(crashed) == len(world.gateways), "two gateways used one engine"
         await trio.sleep(NEWS_SECONDS)
         for turn in range(times):
             await send_crashing(context, turn % len(world.gateways))
@@ -159,9 +157,7 @@
     play(context, script)
 
 
-@when(
-    "a request that crashes engines is sent {times:d} times, then to a gateway that starts"
-)
+@when("a request that crashes engines is sent {times:d} times, then to a new gateway")
 def send_to_new(context, times):
     async def script(world):
         await send_in_turn(context, times)
@@ -206,13 +202,13 @@
     check_crashed(context, most)
 
 
-@then("the call is answered 502 without a time to come back")
+@then("the call is answered 502 without a Retry-After header")
 def check_failed(context):
     assert context.reply.status == 502, vars(context.reply)
     assert "retry-after" not in context.reply.headers
 
 
-@when("a request that crashes engines is held, and then others are sent")
+@when("a request that crashes engines is quarantined, and then others are sent")
 def send_others(context):
     async def script(world):
         await send_in_turn(context, 2)
@@ -238,9 +234,7 @@
     play(context, script)
 
 
-@then(
-    "the held one is refused within {seconds:g} s with 429 and the time of the next probe"
-)
+@then("it is refused within {seconds:g} s with 429 and the time of the next probe")
 def check_held(context, seconds):
     reply = context.replies[-1]
     assert reply.status == 429, vars(reply)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what gateways believe of requests under which endpoints crash."""
+"""Steps for the records that gateways keep of requests that crash endpoints."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     assert list(runs.suspects("e-1", 3.5)) == [waiting]
 
 
-@then("with {news} all gateways that hear of everything agree")
+@then("after reports of {news} all gateways that receive everything agree")
 def check_order(context, news):
     @checked(st.integers(0, 10_000))
     def check(seed):
@@ -73,7 +73,7 @@
         for gateway, heard in zip(gateways, told, strict=True):
             for note in heard:
                 gateway.take(decode_notes(encode_notes([note]))[0], 2.0)
-        # What was told once more by those who have merged it all.
+        # Each gateway reports once more, after it has merged all reports.
         last = [gateway.note(CONTENT) for gateway in gateways]
         for gateway in gateways:
             for note in last:
@@ -82,18 +82,18 @@
         assert len({gateway.is_held(CONTENT) for gateway in gateways}) == 1
 
 
-@then("no request is held when a whole hall crashes while its callers come again")
+@then("no request is quarantined when a data hall crashes and its callers retry")
 def check_hall(context):
     _play_crashes(crashing=ENGINES[:2], rounds=1)
 
 
-@then("no request is held when a third of the engines is killed twice")
+@then("no request is quarantined when a third of the engines is killed twice")
 def check_third(context):
     _play_crashes(crashing=ENGINES[:1], rounds=2)
 
 
 def _play_crashes(crashing, rounds):
-    """Kill engines with 200 requests on them; all come again until they are served."""
+    """Kill engines that run 200 requests, and retry these until they are served."""
     random, quarantine, runs = Random(3), Quarantine(), EndpointRuns()
     waiting = [f"request-{number}" for number in range(200)]
     for number in range(rounds):
@@ -117,7 +117,7 @@
     assert not len(quarantine)
 
 
-@then("no stream is held that three engines lost after it had run for 2 s there")
+@then("no stream is quarantined that three engines lost after it had run for 2 s")
 def check_long(context):
     quarantine, runs = Quarantine(), EndpointRuns()
     for number, engine in enumerate(ENGINES[:3]):
@@ -131,8 +131,8 @@
 
 
 @then(
-    "what has run well in the last {seconds:g} s is not held, whoever hears of the"
-    " crashes first"
+    "a request that completed in the last {seconds:g} s is not quarantined by any"
+    " gateway"
 )
 def check_sound(context, seconds):
     knows, new = Quarantine(), Quarantine()
@@ -151,8 +151,8 @@
 
 
 @then(
-    "a held request is let through after {seconds:g} s, once in the whole fleet, and"
-    " excused"
+    "a quarantined request is probed after {seconds:g} s, once in the whole fleet, and"
+    " cleared"
 )
 def check_probe(context, seconds):
     one, other = Quarantine(), Quarantine()
@@ -167,7 +167,7 @@
     one.note_whole(CONTENT, seconds + 0.5)
     other.take(one.note(CONTENT), seconds + 0.5)
     assert other.seconds_held(CONTENT, seconds + 0.6) is None
-    # Each probe in vain makes the next one later, and the last one is the last.
+    # Each probe that fails defers the next one, until no more probes are sent.
     for number in range(len(PROBE_SECONDS) + 1):
         one.note_crash(CONTENT, f"f-{number}", 100.0)
         one.note_crash(CONTENT, f"g-{number}", 100.0)
@@ -175,7 +175,7 @@
 
 
 @then(
-    "of {suspected:d} suspected requests {most:d} are remembered, and those that are held"
+    "of {suspected:d} suspected requests {most:d} are remembered, and those in quarantine"
 )
 def check_flood(context, suspected, most):
     assert most == MOST_RECORDS
@@ -190,7 +190,7 @@
     assert quarantine.note("flood-0") is None
 
 
-@then("notes of crashes are read or refused with their code")
+@then("crash reports are decoded or refused with their code")
 def check_notes(context):
     check_coded_errors(lambda data: decode_notes(MARK + data), st.binary())
     check_coded_errors(_decode, st.lists(st.lists(NOTES, max_size=5), max_size=3))
@@ -226,7 +226,7 @@
 
 
 class _Request:
-    """Answered by some frames."""
+    """A request that is answered with the given frames."""
 
     number = 1
 
@@ -234,17 +234,17 @@
         self._frames = list(frames)
 
     def send(self, **frame):
-        """Take an order, and do nothing."""
+        """Ignore an order."""
 
     def close(self, **how):
-        """Close nothing."""
+        """Do nothing."""
 
     async def receive(self):
         return self._frames.pop(0)
 
 
 class _Links:
-    """Links to some agents, chosen one after the other."""
+    """Links to agents, chosen one after the other."""
 
     def __init__(self, count, frames):
         self.sent = []
@@ -257,20 +257,20 @@
 
 
 class _ManyRetries:
-    """More retries than a request should need."""
+    """A budget with more retries than a request should need."""
 
     def __init__(self):
         self.spent = 0
 
     def note_request(self):
-        """Count nothing."""
+        """Do nothing."""
 
     def spend(self):
         self.spent += 1
         return self.spent <= 50
 
 
-@when("an order is sent under which each engine of {count:d} is lost")
+@when("an order is sent that loses each of {count:d} engines")
 def send_lost(context, count):
     send_orders(context, 2, _Links(count, ENGINE_LOST))
 
@@ -304,7 +304,7 @@
     assert context.errors[0].outcome is Outcome.UNKNOWN
 
 
-@then("the next order of that content is refused at once with {code}, unrun")
+@then("the next order of that content is refused at once with {code} as not run")
 def check_next(context, code):
     assert context.errors[1].code == code
     assert context.errors[1].outcome is Outcome.NOT_RUN
