--- a/features/asked_rest.feature
+++ b/features/asked_rest.feature
@@ -20,10 +20,10 @@
     And all calls are served
 
   Scenario Outline: which answers request a backoff
-    Then the backoff requested by a <status> answer with Retry-After "<value>" is <rest>
+    Then the backoff requested by a <status> answer with Retry-After "<value>" is <backoff>
 
     Examples:
-      | status | value                         | rest    |
+      | status | value                         | backoff |
       | 503    | 3                             | 3 s     |
       | 503    | 0.4                           | 0.4 s   |
       | 503    | 86400                         | 86400 s |
@@ -77,14 +77,14 @@
 
   Scenario Outline: a stream breaks off while its backup has requested a backoff
     Given 2 engines
-    When the engine of a large stream crashes <rest> s before the end of its backup's backoff
-    Then the backup gets nothing within that time, and the stream ends <as>
+    When the engine of a large stream crashes <backoff> s before the end of its backup's backoff
+    Then the backup gets nothing within that time, and the stream ends <end>
 
     # Callers give up a stream after a pause of 2 s.
     Examples:
-      | rest | as        |
-      | 10   | not whole |
-      | 0.4  | whole     |
+      | backoff | end       |
+      | 10      | not whole |
+      | 0.4     | whole     |
 
   Scenario: the log shows why an endpoint was skipped
     Given 1 gateway before sound endpoints
