--- a/src/piershore/core/fleet/__init__.py
+++ b/src/piershore/core/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway believes of endpoints and of its peers, and what it chooses."""
+"""A gateway's view of its endpoints and peers, and the decisions based on it."""
--- a/src/piershore/core/fleet/endpoint_load.py
+++ b/src/piershore/core/fleet/endpoint_load.py
@@ -1,4 +1,4 @@
-"""Work that gateways have in flight at one endpoint."""
+"""The work that gateways have in flight at one endpoint."""
 
 from __future__ import annotations
 
@@ -7,10 +7,11 @@
 
 @dataclass(frozen=True)
 class EndpointLoad:
-    """Sums over requests in flight.
+    """Sums over requests in flight, memory being counted in tokens.
 
-    `held_tokens` is memory in use now, `projected_tokens` memory at the expected
-    ends, `unread_tokens` prompts whose first token has not come yet.
+    `held_tokens` is the memory in use now, `projected_tokens` the memory in use at the
+    expected ends, and `pending_prompt_tokens` the prompts of generations that have not
+    produced their first token.
     """
 
     requests: int = 0
--- a/src/piershore/core/fleet/endpoint_paces.py
+++ b/src/piershore/core/fleet/endpoint_paces.py
@@ -1,4 +1,4 @@
-"""How fast the streams of each endpoint come, from traffic alone."""
+"""The usual pace of each endpoint's streams, observed from traffic."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 class EndpointPaces:
-    """Usual time between the parts of a stream, by endpoint identity, in seconds."""
+    """Usual seconds between the chunks of a stream, by endpoint identity."""
 
     def __init__(self) -> None:
         self._paces: dict[str, _Pace] = {}
 
     def note_part(self, identity: str, gap: float | None, now: float) -> None:
-        """Note a part of a stream, and the time since the part before if any."""
+        """Record a stream's chunk, and the seconds since its last chunk, if any."""
         pace = self._paces.setdefault(identity, _Pace())
         pace.last_part_at = now
         if gap is not None:
             pace.stalls.observe(gap)
 
     def longest_pause(self, identity: str) -> float:
-        """Return how long a stream may pause before the endpoint seems silent."""
+        """Return how long a stream may pause before its endpoint seems silent."""
         pace = self._paces.get(identity)
         return (pace.stalls if pace else StallDetector()).threshold
 
     def last_part_at(self, identity: str) -> float:
-        """Return when any stream of the endpoint had its last part."""
+        """Return when the last chunk of any stream of the endpoint arrived."""
         pace = self._paces.get(identity)
         return pace.last_part_at if pace else float("-inf")
 
     def forget(self, identity: str) -> None:
-        """Drop what is known of an endpoint that has gone."""
+        """Drop the records of an endpoint that departed."""
         self._paces.pop(identity, None)
--- a/src/piershore/core/fleet/fleet_load.py
+++ b/src/piershore/core/fleet/fleet_load.py
@@ -1,4 +1,4 @@
-"""The load of each endpoint: own work and what peers tell of theirs."""
+"""The load of each endpoint: this gateway's work and the loads that peers report."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Work(Protocol):
-    """Something in flight at an endpoint."""
+    """Anything in flight that loads an endpoint."""
 
     def load(self) -> EndpointLoad:
-        """Return its part of the endpoint's load."""
+        """Return its contribution to the endpoint's load."""
 
 
 class PlainWork:
@@ -21,18 +21,18 @@
     _LOAD = EndpointLoad(requests=1)
 
     def load(self) -> EndpointLoad:
-        """Return one request."""
+        """Return the load of one request."""
         return self._LOAD
 
 
 class BackupWork:
-    """The copy of a generation's memory that a backup holds."""
+    """A backup of a generation's memory on another endpoint."""
 
     def __init__(self, work: Work) -> None:
         self._work = work
 
     def load(self) -> EndpointLoad:
-        """Return the memory that the copy takes, now and at the expected end."""
+        """Return the memory of the backup, now and at the expected end."""
         load = self._work.load()
         return EndpointLoad(
             held_tokens=load.held_tokens, projected_tokens=load.projected_tokens
@@ -40,21 +40,21 @@
 
 
 class CopyWork:
-    """The place and the memory that a generation takes where it will go on."""
+    """The batch slot and memory that a moving generation reserves at its target."""
 
     def __init__(self, work: Work) -> None:
         self._work = work
 
     def load(self) -> EndpointLoad:
-        """Return the load that the generation will be there."""
+        """Return the load that the generation will add to the target."""
         return self._work.load()
 
 
 class FleetLoad:
-    """Own work by endpoint and the loads that peers report.
+    """This gateway's work by endpoint, and the loads that its peers report.
 
-    The peers' sums are kept up with each report: a choice looks at all endpoints, and
-    must not look at all peers for each of them.
+    The sums over peers are updated with each report: a placement looks up the load of
+    every endpoint, and must not iterate over all peers for each of them.
     """
 
     def __init__(self) -> None:
@@ -63,11 +63,11 @@
         self._peer_sums: dict[str, EndpointLoad] = {}
 
     def add(self, identity: str, work: Work) -> None:
-        """Count work in at an endpoint."""
+        """Add work at an endpoint."""
         self._own.setdefault(identity, {})[id(work)] = work
 
     def remove(self, identity: str, work: Work) -> None:
-        """Count work out."""
+        """Remove work from an endpoint; ignore work that isn't there."""
         works = self._own.get(identity)
         if works is None:
             return
@@ -89,14 +89,14 @@
     def take_report(
         self, peer: str, loads: Mapping[str, EndpointLoad], now: float
     ) -> None:
-        """Replace what a peer has reported."""
+        """Replace all loads that a peer reported."""
         self._forget(peer)
         self._peers[peer] = (now, dict(loads))
         for identity, load in loads.items():
             self._add_to_sum(identity, load)
 
     def take_part(self, peer: str, identity: str, load: EndpointLoad) -> None:
-        """Replace what a peer has reported of one endpoint, until its next report."""
+        """Replace a peer's load at one endpoint, until its next report."""
         if peer not in self._peers:
             return
         _, loads = self._peers[peer]
@@ -105,17 +105,17 @@
         self._add_to_sum(identity, change)
 
     def forget_peers(self, heard_before: float) -> None:
-        """Drop reports older than a time: their requests have ended by now."""
+        """Drop reports received before a time: their requests have ended since."""
         old = [peer for peer, (at, _) in self._peers.items() if at < heard_before]
         for peer in old:
             self._forget(peer)
 
     def view_age(self, now: float) -> float:
-        """Return the age of the oldest peer's report that counts, in seconds."""
+        """Return the age of the oldest peer report in use, in seconds."""
         return max((now - at for at, _ in self._peers.values()), default=0.0)
 
     def at(self, identity: str) -> EndpointLoad:
-        """Return the load of one endpoint as far as it is known."""
+        """Return the known load of one endpoint, over all gateways."""
         peers = self._peer_sums.get(identity, NO_LOAD)
         return peers + self.own(identity) if identity in self._own else peers
 
--- a/src/piershore/core/fleet/generation_work.py
+++ b/src/piershore/core/fleet/generation_work.py
@@ -12,15 +12,15 @@
 )
 
 LONG_TOKENS = 100
-"""A generation that can make at most this many more tokens ends soon: at some 10 ms a
-token, within the shortest notice and before it crowds anybody."""
+"""A generation that can produce at most this many more tokens ends soon: at about 10 ms
+per token, within the shortest notice and before it takes memory from others."""
 
 
 @dataclass(frozen=True)
 class GenerationSize:
-    """What a request says of its size, in tokens.
+    """The size of a generation in tokens, as stated by its request.
 
-    `hinted_tokens` is the caller's guess of the output, right in the median.
+    `hinted_tokens` is the caller's estimate of the output, correct in the median.
     """
 
     prompt_tokens: int
@@ -30,7 +30,7 @@
 
 @dataclass
 class GenerationWork:
-    """Progress of one generation, and what its output is expected to be."""
+    """The progress of one generation and the expected length of its output."""
 
     size: GenerationSize
     estimate: LengthEstimate
@@ -41,14 +41,14 @@
 
     @property
     def held_tokens(self) -> int:
-        """Memory that it holds now."""
+        """Memory in use now, in tokens."""
         return self.size.prompt_tokens + self.made_tokens
 
     @property
     def remaining_tokens(self) -> int:
-        """Output still to come, as far as can be told.
+        """Expected output that remains.
 
-        It is asked for at each choice, and worked out once for each part that came.
+        The value is cached until more output arrives, since every placement needs it.
         """
         if self._remaining is None or self._remaining[0] != self.made_tokens:
             tokens = self.expectation.remaining(self.estimate, self.made_tokens)
@@ -57,16 +57,16 @@
 
     @property
     def most_remaining_tokens(self) -> int:
-        """Output that can still come at the most."""
+        """Upper bound of the output that remains."""
         return max(0, self.size.max_output_tokens - self.made_tokens)
 
     @property
     def is_long(self) -> bool:
-        """Whether it may go on for long."""
+        """Whether the generation may still run for long."""
         return self.most_remaining_tokens > LONG_TOKENS
 
     def load(self) -> EndpointLoad:
-        """Return its part of an endpoint's load."""
+        """Return the generation's contribution to an endpoint's load."""
         return EndpointLoad(
             requests=1,
             held_tokens=self.held_tokens,
--- a/src/piershore/core/fleet/length_estimate.py
+++ b/src/piershore/core/fleet/length_estimate.py
@@ -1,4 +1,4 @@
-"""What can be told of one generation's output before it has ended."""
+"""Estimates of a generation's output length before it has ended."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from math import erfc, exp, log, sqrt
 
 NEGLIGIBLE = 1e-4
-"""Chance below which a generation is longer than anything that was expected."""
+"""Below this probability of its length, a generation is longer than ever expected."""
 LEAST_SPREAD = 0.01
-"""A narrower distribution counts as a certain length."""
+"""A distribution with less spread is treated as a known length."""
 
 
 @dataclass(frozen=True)
 class LengthEstimate:
-    """A log-normal distribution of the output, in tokens, cut off at `most`.
+    """A log-normal distribution of the output in tokens, cut off at `maximum`.
 
     `spread` is the standard deviation of the logarithm.
     """
@@ -26,11 +26,11 @@
 
     @classmethod
     def exactly(cls, tokens: int) -> LengthEstimate:
-        """Return the estimate of a length that is known."""
+        """Return the estimate for a known length."""
         return cls(tokens, 0.0, tokens)
 
     def mean_remaining(self, made: int) -> float:
-        """Return the mean output still to come, given what was made."""
+        """Return the mean remaining output, given that `made` tokens were generated."""
         if made >= self.most:
             return 0.0
         if self.spread < LEAST_SPREAD:
@@ -41,12 +41,15 @@
         return (self._mean_up_to(self.most) - self._mean_up_to(made)) / chance
 
     def median_remaining(self, made: int) -> float:
-        """Return what is left to the median, and beyond that half of what may come."""
+        """Return the remaining tokens up to the median.
+
+        Beyond the median, return half of those up to the maximum.
+        """
         median = min(self.median, self.most)
         return median - made if made < median else max(0, self.most - made) / 2
 
     def _mean_up_to(self, length: float) -> float:
-        """Return the mean of the smaller of the output and `length`."""
+        """Return the mean of the output, capped at `length`."""
         if length <= 0:
             return 0.0
         place = log(length / self.median) / self.spread
@@ -61,16 +64,16 @@
 
 
 def _normal_beyond(place: float) -> float:
-    """Return the chance of a standard normal variable beyond `place`."""
+    """Return the probability that a standard normal variable exceeds `place`."""
     return erfc(place / sqrt(2)) / 2
 
 
 class LengthExpectation(ABC):
-    """What of an estimate stands for the output still to come."""
+    """Derives the expected remaining output from an estimate."""
 
     @abstractmethod
     def remaining(self, estimate: LengthEstimate, made: int) -> float:
-        """Return the tokens to reckon with."""
+        """Return the expected remaining tokens after `made`."""
 
 
 LENGTH_EXPECTATIONS: dict[str, type[LengthExpectation]] = {}
@@ -80,7 +83,7 @@
 def length_expectation(
     name: str,
 ) -> Callable[[type[LengthExpectation]], type[LengthExpectation]]:
-    """Register an expectation under the name that the setting gives."""
+    """Register an expectation under its setting value."""
 
     def register(expectation: type[LengthExpectation]) -> type[LengthExpectation]:
         LENGTH_EXPECTATIONS[name] = expectation
@@ -91,17 +94,17 @@
 
 @length_expectation(DEFAULT_EXPECTATION)
 class MeanLength(LengthExpectation):
-    """The mean given what was made: sums of many generations come out right."""
+    """The conditional mean: sums over many generations are unbiased."""
 
     def remaining(self, estimate: LengthEstimate, made: int) -> float:
-        """Return the mean output still to come."""
+        """Return the mean remaining output."""
         return estimate.mean_remaining(made)
 
 
 @length_expectation("median")
 class MedianLength(LengthExpectation):
-    """Baseline: the median, though a few long outputs hold most of the memory."""
+    """Baseline: the median, which ignores that few long outputs hold most memory."""
 
     def remaining(self, estimate: LengthEstimate, made: int) -> float:
-        """Return what is left to the median."""
+        """Return the tokens left to the median."""
         return estimate.median_remaining(made)
--- a/src/piershore/core/fleet/load_note.py
+++ b/src/piershore/core/fleet/load_note.py
@@ -1,4 +1,4 @@
-"""What a gateway tells at once to those who share an endpoint with it."""
+"""The message that reports a change of load at once to peers sharing an endpoint."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from piershore.core.fleet.peer_report import InvalidReportError
 
 MARK = b"+"
-"""Begins a note; reports begin with a bracket."""
+"""First byte of a load update; reports start with a bracket."""
 
 
 @dataclass(frozen=True)
 class LoadNote:
-    """A gateway's whole load at one endpoint, so that a note may be lost or repeated.
+    """A gateway's total load at one endpoint, so that updates may be lost or repeated.
 
-    `number` is counted together with the reports of the same `incarnation`: a note
-    that a later report has overtaken tells nothing new.
+    `number` comes from the same sequence as the reports of this `incarnation`: an
+    update that a later report has overtaken is ignored.
     """
 
     host: str
@@ -29,11 +29,11 @@
 
     @staticmethod
     def is_note(data: bytes) -> bool:
-        """Tell whether a datagram is a note, and not a report."""
+        """Return whether a datagram is a load update and not a report."""
         return data.startswith(MARK)
 
     def encode(self) -> bytes:
-        """Return the datagram."""
+        """Return the update as a datagram."""
         load = self.load
         return MARK + orjson.dumps(
             [
@@ -50,7 +50,7 @@
 
     @classmethod
     def decode(cls, data: bytes) -> LoadNote:
-        """Read a datagram; raise `InvalidReportError` if it isn't a note."""
+        """Decode a datagram; raise `InvalidReportError` if it isn't a load update."""
         try:
             host, incarnation, number, endpoint, *load = orjson.loads(data[len(MARK) :])
             requests, held, projected, unread = map(int, load)
@@ -62,4 +62,4 @@
                 EndpointLoad(requests, held, projected, unread),
             )
         except (ValueError, TypeError, OverflowError) as error:
-            raise InvalidReportError(f"not a note of load: {error!r}") from error
+            raise InvalidReportError(f"not a load update: {error!r}") from error
--- a/src/piershore/core/fleet/output_lengths.py
+++ b/src/piershore/core/fleet/output_lengths.py
@@ -1,9 +1,9 @@
-"""Expected output lengths, from callers' guesses and from what came.
+"""Expected output lengths, from callers' hints and from generations that ended.
 
-How long the outputs of a route are, how much they differ, and how far callers' guesses
-are off is learned while generations end, and told to the peers: a gateway of a large
-fleet sees one long generation in some seconds. What is old is forgotten, so that work
-which has shifted is known after some minutes.
+The lengths of a route's outputs, their spread and the error of callers' hints are
+learned as generations end, and shared with the peers: a gateway of a large fleet
+observes only one long generation every few seconds. Old observations are discounted, so
+that a change of the workload shows after some minutes.
 """
 
 from __future__ import annotations
@@ -16,27 +16,31 @@
 from piershore.core.fleet.length_estimate import LengthEstimate
 
 GUESS_SPREAD = 1.2
-"""Standard deviation of the logarithm of guess over length, before any were seen."""
+"""Prior standard deviation of the logarithm of hint over length."""
 LENGTH_SPREAD = 0.9
-"""The same of lengths of one route among themselves: 0.84 and 0.99 were logged."""
+"""Prior standard deviation of the logarithms of a route's lengths; logs showed 0.84 and
+0.99."""
 UNKNOWN_SHARE_OF_MOST = 0.3
-"""Median length as a part of the most allowed, until lengths were seen."""
+"""Prior median length, as a share of the maximum that the request allows."""
 PRIOR_COUNT = 4.0
-"""Seen lengths after which they weigh as much as these first assumptions."""
+"""Weight of these priors, in observed lengths."""
 MEMORY_SECONDS = 180.0
-"""Time after which a length weighs e times less: three minutes of a service's busy time
-are some hundred generations, and work shifts over hours."""
+"""Time in which the weight of an observed length decays by a factor of e: three minutes
+of a busy service have some hundred generations, and workloads change over hours."""
 TOLD_SECONDS = 30.0
-"""How long what a peer told counts: one that is gone saw the same work."""
+"""How long a peer's report counts. Its lengths stay valid for a while after the peer
+departed, since it served the same workload."""
 SUMMED_SECONDS = 0.5
-"""How long a sum over all peers is used: with 410 of them it takes 0.8 ms."""
+"""How long a sum over all peers is cached: computing it takes 0.8 ms for 410 peers."""
 
 
 @dataclass(frozen=True)
 class LengthSums:
     """Weighted sums over the generations of one route that ended.
 
-    Of logarithms of lengths, and of guess over length where there was a guess.
+    `log_sum` and `log_square_sum` are over the logarithms of lengths, `hint_count` and
+    `hint_error_square_sum` over the logarithms of hint over length, where there was a
+    hint.
     """
 
     count: float = 0.0
@@ -56,13 +60,13 @@
 
     @property
     def deviations(self) -> float:
-        """The squares of the logarithms' deviations from their mean."""
+        """Sum of the squared deviations of the logarithms from their mean."""
         if not self.count:
             return 0.0
         return max(0.0, self.squares - self.logs**2 / self.count)
 
     def scaled(self, weight: float) -> LengthSums:
-        """Return the sums with each generation weighing so much."""
+        """Return the sums with the weight of each generation scaled."""
         return LengthSums(
             self.count * weight,
             self.logs * weight,
@@ -73,7 +77,7 @@
 
     @classmethod
     def of(cls, tokens: int, guess: int | None) -> LengthSums:
-        """Return the sums of one generation."""
+        """Return the sums for one generation."""
         length = log(max(1, tokens))
         if guess is None:
             return cls(1.0, length, length**2)
@@ -86,7 +90,10 @@
 
 @dataclass(frozen=True)
 class LengthBelief:
-    """What is believed of a route's lengths; spreads are of logarithms."""
+    """Estimated distribution of a route's lengths; spreads are of logarithms.
+
+    `sample_weight` is the total weight of the observed lengths.
+    """
 
     median: float
     spread: float
@@ -95,7 +102,7 @@
 
 
 class OutputLengths:
-    """Learns from the generations that ended here and at the peers."""
+    """Learns output lengths from generations that ended here and at the peers."""
 
     def __init__(self) -> None:
         self._own: dict[str, tuple[float, LengthSums]] = {}
@@ -103,25 +110,25 @@
         self._summed: dict[str, tuple[float, LengthSums]] = {}
 
     def record(self, route: str, size: GenerationSize, tokens: int, now: float) -> None:
-        """Add the length of a generation that ended whole."""
+        """Record the length of a generation that completed."""
         seen = LengthSums.of(tokens, size.hinted_tokens)
         self._own[route] = (now, self._own_sums(route, now) + seen)
 
     def report(self, now: float) -> dict[str, LengthSums]:
-        """Return what was seen here, by route."""
+        """Return the sums observed by this gateway, by route."""
         return {route: self._own_sums(route, now) for route in self._own}
 
     def take_report(
         self, peer: str, sums: Mapping[str, LengthSums], now: float
     ) -> None:
-        """Replace what a peer has told."""
+        """Replace what a peer reported, and drop expired reports."""
         self._peers[peer] = (now, sums)
         told = self._peers.items()
         for old in [host for host, (at, _) in told if now - at > TOLD_SECONDS]:
             del self._peers[old]
 
     def belief(self, route: str, most: int, now: float) -> LengthBelief:
-        """Return what is believed of a route whose outputs may be `most` long."""
+        """Return the estimate of a route whose outputs have at most `most` tokens."""
         seen = self._all_sums(route, now)
         first = log(max(1.0, UNKNOWN_SHARE_OF_MOST * max(1, most)))
         count = PRIOR_COUNT + seen.count
@@ -135,7 +142,7 @@
         )
 
     def estimate(self, route: str, size: GenerationSize, now: float) -> LengthEstimate:
-        """Return what can be told of a new generation's length."""
+        """Return the estimate of a new generation's length."""
         most = max(1, size.max_output_tokens)
         belief = self.belief(route, most, now)
         if size.hinted_tokens is None:
--- a/src/piershore/core/fleet/peer_report.py
+++ b/src/piershore/core/fleet/peer_report.py
@@ -1,4 +1,4 @@
-"""What a gateway tells its peers in one datagram."""
+"""The datagram in which a gateway reports its state to its peers."""
 
 from __future__ import annotations
 
@@ -18,31 +18,33 @@
 from piershore.errors import PiershoreError
 
 PLAIN_FIELDS = 12
-"""Words and numbers that a report begins with."""
+"""Number of scalar fields at the start of a report."""
 NOTE_FLAGS = 2
 LARGEST_AMOUNT = 1e12
-"""Above any sum over generations and any time."""
+"""Upper bound of numbers in a report: above any sum over generations and any time."""
 AGE_DIGITS = 3
-"""Digits of the ages of answers, which tell their order."""
+"""Decimal places of the ages of answers; enough to order the answers."""
 SUM_DIGITS = 2
-"""Digits of sums of logarithms; spreads come out right within some hundredths."""
+"""Decimal places of sums of logarithms; spreads stay right within some hundredths."""
 MOST_HALVINGS = 3
-"""A report that is too large tells of the busiest endpoints: half, a quarter, an eighth
-of them."""
+"""A report that is too large keeps only the busiest endpoints: half, a quarter or an
+eighth of them."""
 LONGEST_AGE_SECONDS = 3_600.0
-"""Told for an answer that came so long ago, or never."""
+"""Maximum age that is reported, also for an answer that never arrived."""
 
 
 class InvalidReportError(PiershoreError):
-    """A datagram is not a report."""
+    """A datagram is not a valid report."""
 
     code = "invalid_report"
 
 
 @dataclass(frozen=True)
 class DepartureNote:
-    """An endpoint that left lately; `is_gone` if its entry went, `is_restarted` if a
-    new incarnation has taken its name.
+    """An endpoint that departed recently.
+
+    `is_gone` is set if its entry was removed, `is_restarted` if a new incarnation has
+    registered under its name.
     """
 
     identity: str
@@ -52,17 +54,18 @@
 
 @dataclass(frozen=True)
 class PeerReport:
-    """A gateway's beliefs and work; a new life has another `incarnation`.
-
-    `store_sign` tells of the store's last answer to it, `link_megabits` of its link;
-    `fingerprint` stands for the list of endpoints that it knows, `members` are
-    hosts of gateways that it heard of lately, told only now and then, `leaving` are
-    its generations at endpoints that leave, `departed` the endpoints that left lately,
-    `outcomes` its attempts at endpoints where anybody sees failures, `cold` the seconds
-    that endpoints are still cold which it has seen itself, and `drained` the data halls
-    that get nothing new, if it knows. `lengths` are those of the generations that ended
-    here, by route, told only now and then. `rate_limits` are the rates that endpoints
-    named lately in answers to it.
+    """The state of one gateway; `incarnation` differs after each start of its process.
+
+    `store_sign` describes the store's last answer to the gateway, `link_megabits` the
+    bandwidth of its link, and `fingerprint` identifies the list of endpoints that it
+    knows. `members` are the hosts of gateways that it received reports from recently,
+    `leaving` its generations at endpoints that leave, and `departed` the endpoints that
+    departed recently. `outcomes` counts its attempts at endpoints where any gateway
+    observes failures. `cold` has the seconds for which endpoints stay cold, as observed
+    by the gateway itself, `drained` the data halls that get no new work, or None if the
+    gateway doesn't know. `lengths` has the output lengths of generations that ended at
+    the gateway, by route. `rate_limits` are the limits that endpoints recently
+    advertised in answers to it. Only some reports include `members` and `lengths`.
     """
 
     host: str
@@ -87,7 +90,7 @@
     rate_limits: Mapping[str, RateReport] = field(default_factory=dict)
 
     def encode(self) -> bytes:
-        """Return the datagram."""
+        """Return the report as a datagram."""
         return orjson.dumps(
             [
                 self.host,
@@ -145,8 +148,8 @@
     def encode_within(self, limit: int) -> bytes:
         """Return a datagram of at most `limit` bytes.
 
-        What doesn't fit is left out, first what peers can do longest without: a larger
-        datagram isn't sent at all, and its sender seems to be gone.
+        Leave out what doesn't fit, starting with what peers can do without the longest:
+        a larger datagram isn't sent at all, and its sender would seem to have departed.
         """
         for report in self._shorter():
             data = report.encode()
@@ -155,7 +158,7 @@
         return data
 
     def _shorter(self) -> Iterator[PeerReport]:
-        """Yield the report, and then what is left without one part after the other."""
+        """Yield the report, then ever shorter versions of it."""
         report = self
         yield report
         report = replace(report, outcomes={}, cold={}, lengths={})
@@ -178,7 +181,7 @@
 
     @classmethod
     def decode(cls, data: bytes) -> PeerReport:
-        """Read a datagram; raise `InvalidReportError` if it isn't a report."""
+        """Decode a datagram; raise `InvalidReportError` if it isn't a report."""
         try:
             fields = orjson.loads(data)
             members, loads, leaving, departed, outcomes = fields[PLAIN_FIELDS:-4]
@@ -220,14 +223,14 @@
 def _note(fields: list) -> StreamNote:
     request, held_tokens, *flags = fields
     if len(flags) != NOTE_FLAGS:
-        raise ValueError("a note has another form")
+        raise ValueError("a stream has the wrong number of flags")
     return StreamNote(str(request), int(held_tokens), *map(bool, flags))
 
 
 def _amount(value: object) -> float:
     amount = float(value)
     if not 0 <= amount < LARGEST_AMOUNT:
-        raise ValueError(f"{value!r} is no amount")
+        raise ValueError(f"{value!r} is not a valid amount")
     return amount
 
 
--- a/src/piershore/core/fleet/peer_table.py
+++ b/src/piershore/core/fleet/peer_table.py
@@ -1,4 +1,4 @@
-"""The gateways that this one has heard of."""
+"""The other gateways that this gateway knows."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from piershore.core.fleet.report_pace import silent_after
 
 FORGET_SECONDS = 30.0
-"""A peer is no longer called after so long a silence, unless it is a seed."""
+"""A peer that was silent for this long gets no more reports, unless it is a seed."""
 SILENT_CALL_EVERY = 10
-"""Only each tenth report goes to a peer that is silent."""
+"""A silent peer only gets every tenth report."""
 MOST_MEMBERS_TOLD = 40
-"""Hosts named in one report, so that it fits into one packet."""
+"""Maximum hosts named in one report, so that it fits into one packet."""
 
 
 @dataclass
 class Peer:
-    """One gateway, by its host; `heard_at` is minus infinity until it is heard."""
+    """One gateway; `report_received_at` is minus infinity before its first report."""
 
     host: str
     known_since: float
@@ -28,7 +28,7 @@
 
 
 class PeerTable:
-    """Peers by host, from seeds and from what peers tell."""
+    """Peers by host, from the seeds and from the members that peers report."""
 
     def __init__(self, own_host: str, seeds: Iterable[str], now: float) -> None:
         self._own_host = own_host
@@ -39,7 +39,7 @@
         return len(self._peers)
 
     def take(self, report: PeerReport, now: float) -> bool:
-        """Take a report; tell whether it is news and not late or a repeat."""
+        """Apply a report; return False if it is outdated or repeated."""
         if report.host == self._own_host:
             return False
         for host in report.members:
@@ -57,7 +57,7 @@
         return True
 
     def is_newer(self, note: LoadNote) -> bool:
-        """Tell whether a note tells more than its gateway's last report."""
+        """Return whether an update is newer than its gateway's last report."""
         peer = self._peers.get(note.host)
         if peer is None or peer.report is None:
             return False
@@ -65,16 +65,16 @@
         return last.incarnation == note.incarnation and last.number < note.number
 
     def living(self, now: float) -> list[Peer]:
-        """Return the peers that were heard lately."""
+        """Return the peers whose last report is recent."""
         silent = silent_after(len(self._peers))
         return [p for p in self._peers.values() if now - p.heard_at < silent]
 
     def members(self, now: float) -> tuple[str, ...]:
-        """Return the hosts to tell others of."""
+        """Return the hosts to name in a report."""
         return tuple(peer.host for peer in self.living(now))[:MOST_MEMBERS_TOLD]
 
     def to_call(self, round_number: int, now: float) -> Iterator[str]:
-        """Yield the hosts that get the report of this round."""
+        """Yield the hosts that get the report of this round; drop expired peers."""
         silent = silent_after(len(self._peers))
         for peer in list(self._peers.values()):
             if now - peer.heard_at < silent:
--- a/src/piershore/core/fleet/placement.py
+++ b/src/piershore/core/fleet/placement.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint for a request."""
+"""Placement of requests: which endpoint a request is sent to."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 from piershore.core.routes.service_spec import EngineSpec
 
 REMOTE_HALL_COST = 0.02
-"""A share of an endpoint; only decides between endpoints that are about equal."""
+"""Fraction of an endpoint's load. It only decides between about equal endpoints."""
 FAILURE_COST = 4.0
-"""How many endpoints' worth of load a failing endpoint seems to have."""
+"""Cost of an endpoint whose attempts all fail, in full loads of an endpoint."""
 TIE_COST = 0.005
-"""Spread among equals, so that gateways don't all choose the same endpoint."""
+"""Random spread among equal endpoints: gateways don't all choose the same one."""
 
 
 MOST_COMPARED = 64
-"""Endpoints that a choice among all looks at: the best of so many picked at random is
-among the best in 60 of all, and the time doesn't grow further. The others are looked at
-only if none of these is sound."""
+"""Endpoints compared when choosing among all: the best of a random sample of this size
+is among the best 60th of all, and the time of a choice doesn't grow with the fleet. The
+others are only considered if none of the sample is healthy."""
 MOST_OTHERS = 3
-"""Endpoints told of beside the chosen one, so that a log explains the choice."""
+"""Next best endpoints that the log names beside the chosen one, to explain it."""
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """An endpoint with what it would cost to choose it."""
+    """An endpoint and the cost of choosing it."""
 
     endpoint: Endpoint
     load: EndpointLoad
@@ -49,12 +49,12 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """The cheapest endpoint, and why it was none of the others.
+    """The cheapest endpoint, and why the others were not chosen.
 
-    `others` are the next best, `ejected` the identities that were left out, `resting`
-    those that want nothing from this gateway now, `limited` those that have got this
-    gateway's part of the rate that they take; `view_age` is the age of the oldest
-    report that the loads rest on, in seconds.
+    `others` are the next best. `ejected` are the identities that were left out because
+    of failures, `resting` those that asked this gateway to back off, and `limited`
+    those whose rate quota this gateway has used up. `view_age` is the age in seconds of
+    the oldest peer report that the loads are based on.
     """
 
     best: Candidate
@@ -66,17 +66,17 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """The endpoint that was chosen."""
+        """The chosen endpoint."""
         return self.best.endpoint
 
     @property
     def load(self) -> EndpointLoad:
-        """Its load before the choice."""
+        """The load of the chosen endpoint before this request."""
         return self.best.load
 
 
 class Placement:
-    """Chooses the endpoint that is the least loaded for what a request needs."""
+    """Chooses the endpoint with the lowest cost for a request."""
 
     def __init__(
         self,
@@ -113,7 +113,7 @@
     def for_call(
         self, service: str, now: float, excluded: Collection[str] = ()
     ) -> Choice | None:
-        """Return the endpoint for a plain request, or None if there is none."""
+        """Return the decision for a plain request, or None without an endpoint."""
         endpoints = self._directory.of_service(service)
         return self._cheapest(endpoints, now, excluded, self._call_cost, _all)
 
@@ -127,10 +127,10 @@
         *,
         anywhere: bool = False,
     ) -> Choice | None:
-        """Return the endpoint for a generation, or None if there is none.
+        """Return the decision for a generation, or None without an endpoint.
 
-        It is one of this gateway's subset, or of all if none of these is sound, or if
-        the choice is to be made `anywhere`.
+        Choose from this gateway's subset, or from all endpoints if none of the subset
+        is healthy or if `anywhere` is set.
         """
 
         def cost(endpoint: Endpoint, load: EndpointLoad) -> float:
@@ -144,28 +144,29 @@
         return self._cheapest(endpoints, now, excluded, cost, self._policy.sample)
 
     def sound_of(self, service: str, now: float) -> Iterator[Endpoint]:
-        """Yield the endpoints of a service that are not left out now."""
+        """Yield the endpoints of a service that are healthy and accept work now."""
         for endpoint in self._directory.of_service(service):
             if self._is_sound(endpoint, now) and not self.seconds_left(endpoint, now):
                 yield endpoint
 
     def seconds_left(self, endpoint: Endpoint, now: float) -> float:
-        """Return when an endpoint takes work from this gateway: 0 now, inf if the rate
-        that it takes leaves no part to this gateway.
+        """Return the seconds until an endpoint accepts work from this gateway.
+
+        0 means now, inf that the endpoint's rate limit leaves this gateway no quota.
         """
         rest = self._rests.left(endpoint.identity, now)
         return max(rest, self._limits.seconds_until_free(endpoint, now))
 
     def service_seconds_left(self, service: str, now: float) -> float | None:
-        """Return when the first endpoint of a service takes work, if none does now.
+        """Return the seconds until any endpoint of a service accepts work.
 
-        None means that one takes work, or that there is none at all.
+        None means that one accepts work now, or that the service has no endpoints.
         """
         endpoints = self._directory.of_service(service)
         return min((self.seconds_left(e, now) for e in endpoints), default=0) or None
 
     def limited_rate(self, service: str) -> float:
-        """Return what this gateway may send a second to limited endpoints."""
+        """Return the requests per second this gateway may send to limited endpoints."""
         return sum(
             self._limits.own_rate(endpoint)
             for endpoint in self._directory.of_service(service)
@@ -177,7 +178,8 @@
     ) -> Iterator[Endpoint]:
         """Yield the endpoints that may be chosen.
 
-        Cold and limited ones bear only so much, and those that rest want nothing.
+        Leave out endpoints that asked to back off, and cold or rate-limited ones whose
+        quota is used up.
         """
         for endpoint in endpoints:
             if endpoint.identity in excluded or self.seconds_left(endpoint, now):
@@ -189,7 +191,7 @@
         return not (self._ejects and self._health.is_ejected(endpoint.identity, now))
 
     def _cheapest(self, endpoints, now, excluded, cost, sample) -> Choice | None:
-        """Return the cheapest candidate; ejected endpoints only if all are."""
+        """Return the cheapest candidate; consider ejected endpoints only if all are."""
         compared = endpoints
         if len(endpoints) > MOST_COMPARED:
             compared = self._random.sample(endpoints, MOST_COMPARED)
--- a/src/piershore/core/fleet/placement_policy.py
+++ b/src/piershore/core/fleet/placement_policy.py
@@ -1,4 +1,4 @@
-"""Policies that rank engines for a new generation, by the name of the setting."""
+"""Policies that rank engines for a new generation, registered by setting value."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from piershore.core.routes.service_spec import EngineSpec
 
 UNREAD_COST_TOKENS = 6_000.0
-"""Prompt tokens waiting to be read that count as a full endpoint: 0.4 s of reading,
-a quarter of the shortest first-token aim seen."""
+"""Pending prompt tokens that cost as much as a full endpoint: 0.4 s of prompt
+processing, a quarter of the shortest target latency of a first token in use."""
 BATCH_COST = 0.5
-"""Weight of a full batch beside full memory: a batch only makes tokens slower."""
+"""Cost of a full batch relative to full memory: a batch only slows tokens down."""
 CHOICES_OF_TWO = 2
 
 
 class PlacementPolicy(ABC):
-    """Says what an engine costs; the cheapest of the sample is taken."""
+    """Assigns a cost to each engine; the cheapest of the sample is chosen."""
 
     @abstractmethod
     def cost(
         self, load: EndpointLoad, work: GenerationWork, engine: EngineSpec
     ) -> float:
-        """Return the cost of placing `work` there: 0 when empty, 1 about full."""
+        """Return the cost of placing `work`: 0 on an empty engine, about 1 if full."""
 
     def sample(self, endpoints: Sequence[Endpoint], random: Random) -> list[Endpoint]:
         """Return the engines to compare."""
@@ -40,7 +40,7 @@
 def placement_policy(
     name: str,
 ) -> Callable[[type[PlacementPolicy]], type[PlacementPolicy]]:
-    """Register a policy under the name that the setting gives."""
+    """Register a policy under its setting value."""
 
     def register(policy: type[PlacementPolicy]) -> type[PlacementPolicy]:
         PLACEMENT_POLICIES[name] = policy
@@ -51,12 +51,12 @@
 
 @placement_policy(DEFAULT_PLACEMENT)
 class ProjectedPeak(PlacementPolicy):
-    """Memory at the expected ends, the batch, and prompts that wait to be read."""
+    """Projected memory at the expected ends, batch size, and pending prompts."""
 
     def cost(
         self, load: EndpointLoad, work: GenerationWork, engine: EngineSpec
     ) -> float:
-        """Return how full the engine would be."""
+        """Return how full the engine would become."""
         wanted = work.held_tokens + work.remaining_tokens
         memory = (load.projected_tokens + wanted) / engine.memory_tokens
         unread = load.unread_tokens / UNREAD_COST_TOKENS
@@ -65,32 +65,32 @@
 
 @placement_policy("least_in_flight")
 class LeastInFlight(PlacementPolicy):
-    """Baseline: the fewest generations."""
+    """Baseline: the engine with the fewest generations."""
 
     def cost(
         self, load: EndpointLoad, work: GenerationWork, engine: EngineSpec
     ) -> float:
-        """Return the part of the batch that would be taken."""
+        """Return the share of the batch that would be used."""
         return _batch_share(load, engine)
 
 
 @placement_policy("power_of_two")
 class PowerOfTwo(LeastInFlight):
-    """Baseline: the fewer generations of two engines picked at random."""
+    """Baseline: of two engines picked at random, the one with fewer generations."""
 
     def sample(self, endpoints: Sequence[Endpoint], random: Random) -> list[Endpoint]:
-        """Return two engines."""
+        """Return two engines at random, or all if there are fewer."""
         return random.sample(endpoints, min(CHOICES_OF_TWO, len(endpoints)))
 
 
 @placement_policy("memory_free_now")
 class MemoryFreeNow(PlacementPolicy):
-    """Baseline: the most memory free at this moment."""
+    """Baseline: the engine with the most free memory now."""
 
     def cost(
         self, load: EndpointLoad, work: GenerationWork, engine: EngineSpec
     ) -> float:
-        """Return the part of the memory that would be held."""
+        """Return the share of the memory that would be in use."""
         return (load.held_tokens + work.held_tokens) / engine.memory_tokens
 
 
--- a/src/piershore/core/fleet/policies.py
+++ b/src/piershore/core/fleet/policies.py
@@ -1,4 +1,4 @@
-"""Which of its ways of deciding a gateway uses."""
+"""Selection of the policies that a gateway uses."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True)
 class Policies:
-    """Names of policies as settings give them; `disabled` mechanisms are left out.
+    """Names of the configured policies; `disabled` mechanisms are not used.
 
-    All but the defaults are for experiments.
+    Values other than the defaults are for experiments.
     """
 
     placement: str = DEFAULT_PLACEMENT
--- a/src/piershore/core/fleet/report_pace.py
+++ b/src/piershore/core/fleet/report_pace.py
@@ -1,32 +1,33 @@
-"""How often gateways report to each other, and when one that doesn't is silent.
+"""How often gateways report to each other, and when a peer counts as silent.
 
-What a gateway sends is bounded whatever the number of its peers: rates fall with them.
+The traffic that a gateway sends is bounded whatever the number of its peers: the more
+peers, the fewer reports each of them gets.
 """
 
 from __future__ import annotations
 
 SHORTEST_INTERVAL_SECONDS = 0.1
-"""Time between regular reports to a peer in a small fleet."""
+"""Interval of regular reports to a peer in a small fleet."""
 REPORTS_A_SECOND = 60.0
-"""Regular reports that one gateway sends in all; with more peers each gets fewer.
-What changes a peer's choice is told at once."""
+"""Regular reports that one gateway sends to all peers together. Changes that affect the
+placements of peers are sent at once, without waiting for the next report."""
 SHORTEST_SILENCE_SECONDS = 2.0
-"""A peer that was not heard for so long is not counted as living."""
+"""A peer that sent no report for this long doesn't count as live."""
 MISSED_REPORTS = 4.0
-"""In a large fleet, reports that are missing in a row before a peer is silent: some
-are lost now and then, and a peer whose share of the budgets is dropped too early is
-counted twice when it is back."""
+"""In a large fleet, consecutive reports that must be missing before a peer is silent:
+single reports get lost, and a peer whose share of the budgets is dropped too early is
+counted twice when it returns."""
 
 
 SHORTEST_GAP_SECONDS = 0.012
-"""Changes that come closer are told together."""
+"""Changes within this time are sent together."""
 NEWS_A_SECOND = 1_200.0
-"""Reports at most that one gateway sends in all since endpoints fail there: without a
-bound each failure of a herd would cost a datagram to each other gateway."""
+"""Reports that one gateway sends to all peers because of failures: without a bound,
+each of many simultaneous failures would cost a datagram to every other gateway."""
 PASSED_ON_BY = 12.0
-"""Gateways that pass a departure on when they hear of it: reports get lost, and a few
-more senders than one make up for it; if all passed it on, each departure would cost a
-datagram for each pair of gateways."""
+"""Mean number of gateways that forward a departure they received: a few senders make up
+for lost reports. If all gateways forwarded it, each departure would cost a datagram for
+every pair of gateways."""
 
 
 def report_interval(peers: int) -> float:
@@ -35,15 +36,15 @@
 
 
 def news_gap(peers: int) -> float:
-    """Return the least seconds between reports that only tell of failures."""
+    """Return the minimum seconds between reports that failures trigger."""
     return max(SHORTEST_GAP_SECONDS, peers / NEWS_A_SECOND)
 
 
 def passes_on(peers: int, draw: float) -> bool:
-    """Tell whether this gateway passes a departure on; `draw` is below 1, at random."""
+    """Return whether to forward a departure; `draw` is random, from 0 to below 1."""
     return draw * peers < PASSED_ON_BY
 
 
 def silent_after(peers: int) -> float:
-    """Return the seconds after which a peer that was not heard is silent."""
+    """Return the seconds without a report after which a peer counts as silent."""
     return max(SHORTEST_SILENCE_SECONDS, MISSED_REPORTS * report_interval(peers))
--- a/src/piershore/core/fleet/room_wait.py
+++ b/src/piershore/core/fleet/room_wait.py
@@ -1,16 +1,17 @@
 """How a generation waits for memory before it is refused.
 
-The load pattern: a sixth of the engines is taken away each few seconds and others come
-4 s later, so that for some tenths of a second no engine has memory for one more long
-generation. A caller that is refused then comes back when its aim is over; one that
-waits a moment is in time: 0.96 instead of 0.83 of the long ones were in aim.
-
-But what waits at several gateways goes for the same room in the same moment. So looks
-are spread at random, and who has found room looks once more after a moment in which it
-hears of the others' starts: at 1.4 times that load 25 of 1,000 generations were
-preempted instead of 44 with looks each 30 ms alone, and 17 if nobody waits; 0.52, 0.37
-and 0.49 of the long ones were in aim (fleet experiment in virtual time, 3, 2 and 3
-seeds).
+The load pattern: every few seconds a sixth of the engines is taken away, and others
+start 4 s later, so that for some tenths of a second no engine has memory for one more
+long generation. A caller that is refused then retries after its target latency has
+passed, while a request that waits a moment meets it: 0.96 instead of 0.83 of the long
+generations met their target latency.
+
+But requests that wait at several gateways compete for the same memory at the same
+moment. So checks are spread at random, and a request that has found memory checks once
+more after a delay, in which its gateway receives the load updates of other starts. At
+1.4 times that load 25 of 1,000 generations were preempted, instead of 44 with checks
+every 30 ms and no second check, and 17 without waiting; 0.52, 0.37 and 0.49 of the long
+generations met their target latency.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
 from random import Random
 
 WAITING_SHARE = 0.35
-"""Part of the first token's aim that a generation waits for memory; the rest is for
-reading its prompt."""
+"""Share of the first token's target latency that a generation may wait for memory; the
+rest is for processing its prompt."""
 LOOK_AGAIN_SECONDS = 0.1
-"""Mean time between two looks for memory: an engine has room again some times a second,
-and a start is told within 14 ms."""
+"""Mean time between two checks for memory: an engine frees memory several times per
+second, and peers learn of a start within 14 ms."""
 SPREAD = (0.5, 1.5)
-"""Parts of that time that looks are apart, so that gateways don't look together."""
+"""Bounds of the random factor on that time, so that gateways don't check together."""
 LONGEST_PAUSE_BEFORE_START = 0.1
-"""Longest time between the look that found room and the one that takes it."""
+"""Maximum delay between the check that found memory and the one before the start."""
 
 
 def waiting_seconds(aim: float) -> float:
-    """Return how long a generation may wait for memory, given its aim in seconds."""
+    """Return how long a generation may wait for memory, given its target in seconds."""
     return WAITING_SHARE * aim
 
 
 class RoomWait:
-    """Says when a generation that waits looks again, and when it takes room."""
+    """Decides when a waiting generation checks for memory again, and when it starts."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -43,7 +44,7 @@
         self._has_found = False
 
     def next_pause(self, *, has_room: bool) -> float | None:
-        """Return the seconds until the next look, or None to take the room now."""
+        """Return the seconds until the next check, or None to start now."""
         if not has_room:
             self._has_waited, self._has_found = True, False
             return LOOK_AGAIN_SECONDS * self._random.uniform(*SPREAD)
--- a/src/piershore/core/fleet/sent_requests.py
+++ b/src/piershore/core/fleet/sent_requests.py
@@ -1,4 +1,4 @@
-"""When this gateway sent its latest requests, by endpoint."""
+"""Times at which this gateway sent its recent requests, by endpoint."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 
 class SentRequests:
-    """Times of requests by endpoint identity; times are in seconds."""
+    """Times of recent requests by endpoint identity, in seconds."""
 
     def __init__(self) -> None:
         self._times: dict[str, deque[float]] = {}
 
     def record(self, identity: str, now: float, window: float) -> None:
-        """Count a request; those older than `window` are dropped."""
+        """Record a request, and drop those older than `window` seconds."""
         times = self._times.setdefault(identity, deque())
         while times and times[0] <= now - window:
             times.popleft()
         times.append(now)
 
     def count(self, identity: str, since: float) -> int:
-        """Return how many requests were sent after a time."""
+        """Return how many requests were sent after `since`."""
         return sum(at > since for at in self._times.get(identity, ()))
 
     def latest(self, identity: str, count: int) -> float | None:
-        """Return when the last request but `count - 1` was sent, if there is one."""
+        """Return when the `count`-th last request was sent; None if there are fewer."""
         times = self._times.get(identity, ())
         return times[-count] if len(times) >= count else None
 
     def identities(self) -> set[str]:
-        """Return the endpoints to which requests were counted."""
+        """Return the endpoints with recorded requests."""
         return set(self._times)
 
     def forget(self, identity: str) -> None:
-        """Drop what is known of one endpoint."""
+        """Drop the records of one endpoint."""
         self._times.pop(identity, None)
--- a/src/piershore/core/fleet/subsetting.py
+++ b/src/piershore/core/fleet/subsetting.py
@@ -1,15 +1,15 @@
-"""Which endpoints a gateway chooses from, and which other gateways do.
-
-The load pattern: many gateways choose at the same time by views as old as the time
-between reports. If all choose from all endpoints they crowd at the one that their views
-show empty. So each gateway has a few endpoints (deterministic subsetting), and a start
-is told at once to just those gateways that share its endpoint. What a gateway sends for
-it is `SUBSET_SIZE` times the starts at one endpoint: bounded by what an endpoint can
-take, whatever the size of the fleet. With 68 gateways before 31 engines one of ten
-first tokens comes after 0.66 s instead of 2.44 (fleet experiment in virtual time).
-
-All gateways work the subsets out alike, from the endpoints and the gateways that they
-know. Lists that differ for a moment make some starts known only with the next report.
+"""Deterministic subsetting: which endpoints each gateway chooses from.
+
+The load pattern: many gateways choose at the same time, by views as old as the interval
+of their reports. If all gateways choose from all endpoints, they overload the endpoint
+that their views show as empty. So each gateway has a small subset of endpoints, and
+sends an update of its load at once to just those gateways that share the endpoint. The
+number of updates a gateway sends is `SUBSET_SIZE` times the starts at one endpoint:
+bounded by what an endpoint can accept, whatever the size of the fleet. With 68 gateways
+in front of 31 engines, one in ten first tokens comes after 0.66 s instead of 2.44 s.
+
+All gateways compute the same subsets from the endpoints and gateways that they know.
+While their lists differ, some starts become known only with the next report.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 from piershore.core.hashing import stable_hash
 
 SUBSET_SIZE = 12
-"""Endpoints that a gateway chooses from; each more costs a message a start."""
+"""Endpoints that a gateway chooses from; each more costs one message per start."""
 LEAST_SHARERS = 2
-"""Gateways that choose from each endpoint at the least: with a single one, an endpoint
-would idle whenever that has no callers."""
+"""Minimum gateways that choose from each endpoint: with a single gateway, an endpoint
+would be idle whenever that gateway has no callers."""
 
 
 def subset_width(gateways: int, endpoints: int) -> int:
@@ -36,9 +36,9 @@
 
 
 def subset_places(rank: int, gateways: int, endpoints: int) -> Iterator[int]:
-    """Yield the places on the ring of endpoints that the gateway of a rank has.
+    """Yield the positions on the ring of endpoints in the subset of a gateway's rank.
 
-    Subsets begin at even distances, so each endpoint is in as many as any other.
+    Subsets start at even distances, so each endpoint is in about as many as any other.
     """
     start = rank * endpoints // gateways
     for step in range(subset_width(gateways, endpoints)):
@@ -46,7 +46,7 @@
 
 
 def sharing_ranks(place: int, gateways: int, endpoints: int) -> Iterator[int]:
-    """Yield the ranks of the gateways that have a place of the ring."""
+    """Yield the ranks of the gateways whose subsets contain a ring position."""
     width = subset_width(gateways, endpoints)
     first = _first_rank(place - width + 1, gateways, endpoints)
     after_last = _first_rank(place + 1, gateways, endpoints)
@@ -55,20 +55,20 @@
 
 
 def _first_rank(start: int, gateways: int, endpoints: int) -> int:
-    """Return the first rank whose subset begins at this place or later."""
+    """Return the first rank whose subset starts at this position or later."""
     return ceil(start * gateways / endpoints)
 
 
 @dataclass(frozen=True)
 class SubsetView:
-    """The living gateways, and the state of the list of endpoints."""
+    """What subsets are computed from: the live gateways and the list of endpoints."""
 
     hosts: tuple[str, ...]
     selection: tuple[int, frozenset[str]]
 
 
 class EndpointSubsets:
-    """The subsets of the living gateways, as far as this one knows them."""
+    """The subsets of the live gateways that this gateway knows."""
 
     def __init__(self, own_host: str, directory: EndpointDirectory) -> None:
         self._own_host = own_host
@@ -80,7 +80,7 @@
         self._selection: tuple[int, frozenset[str]] | None = None
 
     def set_peers(self, hosts: Iterable[str]) -> None:
-        """Take the gateways that take callers beside this one."""
+        """Set the other gateways that accept callers."""
         known = {*hosts, self._own_host}
         if known == set(self._hosts):
             return
@@ -89,12 +89,12 @@
 
     @property
     def view(self) -> SubsetView:
-        """What the subsets are worked out from; another one if that has changed."""
+        """What the subsets are computed from; a change makes it unequal to before."""
         return SubsetView(self._hosts, self._directory.selection)
 
     @property
     def peers(self) -> list[str]:
-        """The hosts of all gateways but this one."""
+        """The hosts of all other gateways."""
         return [host for host in self._hosts if host != self._own_host]
 
     def own(self, service: str) -> list[Endpoint]:
@@ -106,7 +106,7 @@
         return [ring[place] for place in places]
 
     def sharing_peers(self, endpoint: Endpoint) -> Iterator[str]:
-        """Yield the hosts of the peers that choose from an endpoint, too."""
+        """Yield the hosts of the peers that also choose from an endpoint."""
         ring = self._ring(endpoint.service)
         place = self._places.get(endpoint.identity)
         if place is None:
@@ -116,7 +116,7 @@
                 yield self._hosts[rank]
 
     def _ring(self, service: str) -> list[Endpoint]:
-        """Return a service's endpoints that take work, in an order all agree on."""
+        """Return a service's listed endpoints in the order that all gateways use."""
         if self._selection != self._directory.selection:
             self._selection = self._directory.selection
             self._rings.clear()
