--- a/src/piershore/core/admission/actions.py
+++ b/src/piershore/core/admission/actions.py
@@ -1,4 +1,4 @@
-"""What the admission tells the agent to do."""
+"""Actions that the admission requests from the agent."""
 
 from __future__ import annotations
 
@@ -10,14 +10,17 @@
 
 @dataclass(frozen=True)
 class Start:
-    """Start this generation at the engine."""
+    """Start this generation on the engine."""
 
     candidate: Candidate
 
 
 @dataclass(frozen=True)
 class Refuse:
-    """Give this request its final answer now; nothing of it has run."""
+    """Refuse this request, of which nothing has run; the answer is final.
+
+    `retry_after` is the number of seconds after which the caller may retry.
+    """
 
     candidate: Candidate
     reason: RefusalReason
--- a/src/piershore/core/admission/admission_policy.py
+++ b/src/piershore/core/admission/admission_policy.py
@@ -11,23 +11,23 @@
 
 
 class AdmissionPolicy(ABC):
-    """Decides whether one more generation may be started now."""
+    """Decides whether one more generation may start now."""
 
     def __init__(self, settings: AdmissionSettings, model: LengthModel) -> None:
         self._settings = settings
         self._model = model
 
     def begin(self, running: Collection[RunningGeneration]) -> None:  # noqa: B027
-        """Look at the running generations before a round of `admits`."""
+        """Prepare a round of calls to `admits` with the running generations."""
 
     @abstractmethod
     def admits(
         self, candidate: Candidate, running: Collection[RunningGeneration]
     ) -> bool:
-        """Tell whether `candidate` fits beside `running`."""
+        """Return whether `candidate` fits beside `running`."""
 
     def started(self, candidate: Candidate) -> None:  # noqa: B027
-        """Note that `candidate` was started in this round."""
+        """Record that `candidate` was started in this round."""
 
     @property
     def capacity(self) -> int:
@@ -41,7 +41,7 @@
 def admission_policy(
     name: str,
 ) -> Callable[[type[AdmissionPolicy]], type[AdmissionPolicy]]:
-    """Register a policy under the name that a service's settings give."""
+    """Register a policy under its name in a service's settings."""
 
     def register(policy: type[AdmissionPolicy]) -> type[AdmissionPolicy]:
         POLICIES[name] = policy
--- a/src/piershore/core/admission/baseline_policies.py
+++ b/src/piershore/core/admission/baseline_policies.py
@@ -1,4 +1,4 @@
-"""Policies to measure against: simple rules, and a bound that knows the future."""
+"""Baselines: simple rules, and an upper bound that knows all lengths in advance."""
 
 from __future__ import annotations
 
@@ -13,47 +13,47 @@
 
 @admission_policy("fixed_slots")
 class FixedSlots(AdmissionPolicy):
-    """A fixed number of generations at a time."""
+    """Admit up to a fixed number of generations at a time."""
 
     def admits(
         self, candidate: Candidate, running: Collection[RunningGeneration]
     ) -> bool:
-        """Tell whether a slot is free."""
+        """Return whether a slot is free."""
         return len(running) < self._settings.slots
 
 
 @admission_policy("memory_free_now")
 class MemoryFreeNow(AdmissionPolicy):
-    """Whatever fits into the memory that is free at this moment."""
+    """Admit whatever fits into the memory that is free now."""
 
     def admits(
         self, candidate: Candidate, running: Collection[RunningGeneration]
     ) -> bool:
-        """Tell whether the prompt fits now."""
+        """Return whether the prompt fits now."""
         held = sum(generation.held_tokens for generation in running)
         return held + candidate.prompt_tokens < self.capacity
 
 
 @admission_policy("reserve_maximum")
 class ReserveMaximum(AdmissionPolicy):
-    """Memory for the longest answer that each request allows."""
+    """Reserve memory for the longest answer that each request allows."""
 
     def admits(
         self, candidate: Candidate, running: Collection[RunningGeneration]
     ) -> bool:
-        """Tell whether the longest answers of all would fit."""
+        """Return whether the longest answers of all generations would fit."""
         reserved = sum(_longest(generation.candidate) for generation in running)
         return reserved + _longest(candidate) <= self.capacity
 
 
 @admission_policy("known_lengths")
 class KnownLengths(AdmissionPolicy):
-    """The bound: as if the length of each answer were known in advance."""
+    """Upper bound: admit as if the length of each answer were known in advance."""
 
     def admits(
         self, candidate: Candidate, running: Collection[RunningGeneration]
     ) -> bool:
-        """Tell whether the true peak stays below the capacity."""
+        """Return whether the actual peak stays within the capacity."""
         sizes = [(_left(g.candidate, g.generated), g.held_tokens) for g in running]
         sizes.append((_left(candidate, 0), candidate.prompt_tokens))
         sizes.sort(reverse=True)
--- a/src/piershore/core/admission/candidate.py
+++ b/src/piershore/core/admission/candidate.py
@@ -1,4 +1,4 @@
-"""Generations as the admission sees them."""
+"""Generations that wait for admission or run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class LengthKey:
-    """What lengths are learned by."""
+    """The key by which output lengths are learned."""
 
     account: str
     kind: str
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A generation that asks to be started; times are monotonic seconds.
+    """A generation that waits to be started; times are monotonic seconds.
 
-    `deadline` is when its first token must come. `known_length` is only given
-    to the policy that serves as a bound in experiments.
+    `deadline` is the time by which its first token must arrive. `known_length` is only
+    set for the policy that serves as an upper bound in experiments.
     """
 
     identity: str
@@ -33,7 +33,7 @@
 
 @dataclass
 class RunningGeneration:
-    """A generation that the engine works on; `generated` counts its tokens."""
+    """A generation that runs on the engine; `generated` counts its output tokens."""
 
     candidate: Candidate
     started_at: float
@@ -41,5 +41,5 @@
 
     @property
     def held_tokens(self) -> int:
-        """Memory that it holds now, in tokens."""
+        """Memory in use now, in tokens."""
         return self.candidate.prompt_tokens + self.generated
--- a/src/piershore/core/admission/engine_queue.py
+++ b/src/piershore/core/admission/engine_queue.py
@@ -1,4 +1,4 @@
-"""The queue before one engine: what to start, what to refuse, and when."""
+"""The queue in front of one engine: what to start, what to refuse, and when."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 def _always() -> bool:
-    """Let every generation start."""
+    """Allow every start."""
     return True
 
 
 class EngineQueue:
-    """Admission of one engine; times are monotonic seconds.
+    """Admission to one engine; times are monotonic seconds.
 
-    Actions come from `poll`; the other methods only take note of events.
+    `poll` yields the actions; the other methods only record events.
     """
 
     def __init__(self, settings: AdmissionSettings) -> None:
@@ -48,27 +48,27 @@
 
     @property
     def running_count(self) -> int:
-        """Number of generations that the engine works on."""
+        """Number of generations that run on the engine."""
         return len(self._running)
 
     @property
     def queued_count(self) -> int:
-        """Number of requests that wait."""
+        """Number of waiting requests."""
         return len(self._queued)
 
     @property
     def free_share(self) -> float:
-        """Share of the memory that isn't held now."""
+        """Share of the memory that is free now."""
         held = sum(g.held_tokens for g in self._running.values())
         return max(0.0, 1 - held / self._settings.capacity_tokens)
 
     @property
     def token_rate(self) -> float:
-        """Tokens a second that the engine has made lately."""
+        """Tokens per second that the engine generated recently."""
         return self._token_rate
 
     def submit(self, candidate: Candidate, now: float) -> None:
-        """Put a request in the queue, or refuse it."""
+        """Add a request to the queue, or refuse it."""
         longest = candidate.prompt_tokens + 1
         if longest > self._settings.capacity_tokens:
             self._refuse(candidate, RefusalReason.TOO_LONG_FOR_ENGINE, 0.0)
@@ -83,18 +83,18 @@
         self._queued[candidate.identity] = entry
 
     def progress(self, identity: str, tokens: int) -> None:
-        """Note that the engine has made `tokens` more of a generation."""
+        """Record that a generation has produced `tokens` more tokens."""
         generation = self._running.get(identity)
         if generation is not None:
             generation.generated += tokens
 
     def step(self, tokens: int, batch: int, seconds: float, now: float) -> None:
-        """Note one step of the engine: its tokens, batch size and duration."""
+        """Record one step of the engine: its tokens, batch size and duration."""
         self._pace.record(batch, seconds)
         self.note_rate(tokens, now)
 
     def note_rate(self, tokens: int, now: float) -> None:
-        """Note that the engine has made `tokens` since the last note."""
+        """Record that the engine has generated `tokens` since the last call."""
         if self._rate_at is None:
             self._rate_at = now
             return
@@ -106,14 +106,14 @@
         self._rate_at = now
 
     def finish(self, identity: str, *, whole: bool) -> None:
-        """Note that a generation has left the engine; learn from a whole one."""
+        """Remove a generation that ended; learn its length if it is complete."""
         generation = self._running.pop(identity, None)
         if generation is not None and whole:
             key = generation.candidate.length_key
             self._lengths.record(key, generation.generated)
 
     def withdraw(self, identity: str) -> bool:
-        """Take a request out of the queue; tell whether it was there."""
+        """Remove a request from the queue; return whether it was there."""
         entry = self._queued.pop(identity, None)
         if entry is None:
             return False
@@ -121,15 +121,16 @@
         return True
 
     def waiting(self) -> tuple[Candidate, ...]:
-        """Return the requests that wait, the most urgent first."""
+        """Return the waiting requests, the most urgent first."""
         return tuple(entry[1] for entry in self._queue)
 
     def poll(
         self, now: float, may_start: Callable[[], bool] = _always
     ) -> Iterator[AdmissionAction]:
-        """Yield what is to be done now, the most urgent first.
+        """Yield the actions to take now: refusals, then starts, the most urgent first.
 
-        `may_start` is asked before each start.
+        `may_start` is called before each start; no more generations are started once it
+        returns False.
         """
         yield from self._take_refused()
         yield from self._hopeless(now)
@@ -144,7 +145,10 @@
             yield Start(candidate)
 
     def projected_wait(self, candidate: Candidate) -> float:
-        """Return the seconds until the queue before `candidate` has drained."""
+        """Return the expected seconds until the queue ahead of `candidate` is empty.
+
+        The result is bounded to a sensible time for a retry.
+        """
         if self._token_rate <= 0:
             return SHORTEST_RETRY_SECONDS
         ahead = sum(
--- a/src/piershore/core/admission/length_histogram.py
+++ b/src/piershore/core/admission/length_histogram.py
@@ -1,4 +1,4 @@
-"""Observed output lengths, newer ones weighing more than older ones."""
+"""A histogram of recent output lengths."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class LengthHistogram:
-    """The survival function of output lengths over the last samples.
+    """The survival function of output lengths over recent samples.
 
-    Two histograms take turns: the older is dropped when the newer is full, so
-    a change of the mix shows after `ROTATE_AFTER` samples at the latest.
+    Two histograms rotate: the older one is dropped when the newer one is full, so a
+    change of the workload shows after at most `ROTATE_AFTER_SAMPLES` samples.
     """
 
     def __init__(self) -> None:
@@ -31,12 +31,12 @@
 
     @property
     def count(self) -> int:
-        """Number of samples that still weigh."""
+        """Number of samples in both histograms."""
         return self._count
 
     @property
     def recorded(self) -> int:
-        """Number of samples that were ever recorded."""
+        """Number of samples ever recorded."""
         return self._recorded
 
     def record(self, length: int) -> None:
@@ -51,7 +51,7 @@
         self._count = self._newer_count + older
 
     def survival(self, length: int) -> float:
-        """Return the share of samples that were longer than `length`."""
+        """Return the share of samples that are longer than `length`."""
         self._rebuild_if_stale()
         place = bisect_right(self._lengths, length)
         at_most = self._cumulative[place - 1] if place else 0
--- a/src/piershore/core/admission/length_model.py
+++ b/src/piershore/core/admission/length_model.py
@@ -1,4 +1,4 @@
-"""Learning of output lengths by client account and request kind."""
+"""A model of output lengths, learned by client account and request kind."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 NEGLIGIBLE = 1e-6
 KEYS_KEPT = 512
 MEAN_STEPS = (0, *(int(8 * 1.3**n) for n in range(40)))
-"""Lengths in tokens at which the mean is summed up, up to some 200,000."""
+"""Steps in tokens, up to about 200,000, over which survival is summed for the mean."""
 
 
 class LengthModel:
-    """Survival of a generation's length, given how long it already is.
+    """Survival function of a generation's length, given its current length.
 
-    The account's kind leans on the kind, that on the whole service, and that on a
-    prior up to the most that the request allows, until enough samples are in.
+    Estimates are hierarchical: until there are enough samples, those of an account's
+    kind are blended with those of the kind in all accounts, these with those of the
+    whole service, and these with a prior up to the maximum that the request allows.
     """
 
     def __init__(self) -> None:
@@ -43,9 +44,9 @@
     def survivals(
         self, key: LengthKey, generated: int, steps: Sequence[int], max_tokens: int
     ) -> Iterator[float]:
-        """Yield the chance of more than each of `steps` further tokens.
+        """Yield the probability of more than each of `steps` further tokens.
 
-        Ends at the first step that can't be survived.
+        Stop at the first step whose probability is negligible.
         """
         chain = tuple(self._chain(key))
         given = self._blended(chain, generated, max_tokens)
@@ -56,7 +57,7 @@
             if given > NEGLIGIBLE:
                 chance = self._blended(chain, reached, max_tokens) / given
             else:
-                # Longer than anything seen: nothing is known but the maximum.
+                # Longer than all samples: only the maximum is known.
                 chance = 1 - further / (max_tokens - generated)
             if chance <= NEGLIGIBLE:
                 return
@@ -65,7 +66,7 @@
     def expected_further(
         self, key: LengthKey, generated: int, max_tokens: int
     ) -> float:
-        """Return the mean number of tokens still to come."""
+        """Return the mean number of remaining tokens."""
         if self._expected_at != self._service.recorded:
             self._expected_at = self._service.recorded
             self._expected.clear()
@@ -83,9 +84,9 @@
         return total
 
     def _chain(self, key: LengthKey) -> Iterator[LengthHistogram]:
-        """Yield the histograms that speak for `key`, the most special first.
+        """Yield the histograms that apply to `key`, the most specific first.
 
-        One with `ENOUGH_SAMPLES` speaks alone.
+        A histogram with `ENOUGH_SAMPLES` is the last one.
         """
         for histogram in (
             self._by_key.get(key),
@@ -101,9 +102,9 @@
     def _blended(
         chain: tuple[LengthHistogram, ...], length: int, max_tokens: int
     ) -> float:
-        """Return the survival of `length`, each histogram leaning on the next.
+        """Return the survival of `length`, blending each histogram with the next.
 
-        Below them all lies a prior that is uniform in the logarithm.
+        The last one is blended with a prior that is uniform in the logarithm.
         """
         blended = 1 - log1p(length) / log1p(max_tokens)
         for histogram in reversed(chain):
--- a/src/piershore/core/admission/pace_model.py
+++ b/src/piershore/core/admission/pace_model.py
@@ -1,4 +1,4 @@
-"""How the engine's time for one step grows with its batch."""
+"""A model of how the time of one engine step grows with its batch."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
         self._sum_xy = self._sum_xy * DECAY + batch * seconds
 
     def batch_cap(self, token_pace: float) -> int | None:
-        """Return the largest batch whose steps take `token_pace` seconds.
+        """Return the largest batch whose steps take at most `token_pace` seconds.
 
-        None while too little is known.
+        None means that there are too few samples to limit the batch.
         """
         if self._weight < ENOUGH_WEIGHT:
             return None
--- a/src/piershore/core/admission/projected_demand.py
+++ b/src/piershore/core/admission/projected_demand.py
@@ -1,7 +1,7 @@
-"""Memory that the running generations will want, step by step into the future.
+"""Projected memory demand of the running generations, step by step into the future.
 
-The idea of projecting the peak as generations finish in turn is weighed in
-docs/design/admission.md, with the measurement that speaks for it.
+docs/design/admission.md discusses the projection of the peak as generations finish one
+after the other, with the measurement that supports it.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 class ProjectedDemand:
     """Mean and variance of the demand at each of `HORIZON_STEPS` tokens ahead.
 
-    A generation that survives `t` more steps holds its present tokens and `t`
-    more; one that ends before holds none.
+    A generation that survives `t` more steps holds its current tokens and `t` more; one
+    that ends earlier holds none.
     """
 
     def __init__(self, model: LengthModel) -> None:
@@ -57,12 +57,12 @@
         return duplicate
 
     def add_all(self, running: Iterable[RunningGeneration]) -> None:
-        """Count all running generations in."""
+        """Add all running generations."""
         for generation in running:
             self.add(generation.candidate, generation.generated)
 
     def add(self, candidate: Candidate, generated: int) -> None:
-        """Count one generation in that has `generated` tokens so far."""
+        """Add one generation that has `generated` tokens so far."""
         held = candidate.prompt_tokens + generated
         chances = self._model.survivals(
             candidate.length_key, generated, HORIZON_STEPS, candidate.max_tokens
@@ -73,7 +73,7 @@
             self._variance[place] += chance * (1 - chance) * size * size
 
     def peak(self, risk: float) -> float:
-        """Return the demand, in tokens, that is exceeded with chance `risk`."""
+        """Return the peak demand in tokens that is exceeded with probability `risk`."""
         deviations = NormalDist().inv_cdf(1 - risk)
         return max(
             mean + deviations * sqrt(variance)
--- a/src/piershore/core/admission/projected_peak.py
+++ b/src/piershore/core/admission/projected_peak.py
@@ -1,4 +1,4 @@
-"""Admission by the projected peak of memory, lengths being learned."""
+"""Admission by the projected memory peak, based on learned output lengths."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 @admission_policy("projected_peak")
 class ProjectedPeak(AdmissionPolicy):
-    """Start what keeps the projected peak below the capacity at a chosen risk."""
+    """Admit what keeps the projected peak within the capacity at a configured risk."""
 
     _demand: ProjectedDemand | None = None
 
     def begin(self, running: Collection[RunningGeneration]) -> None:
-        """Project the demand of what runs."""
+        """Project the demand of the running generations."""
         self._demand = ProjectedDemand(self._model)
         self._demand.add_all(running)
 
     def admits(
         self, candidate: Candidate, running: Collection[RunningGeneration]
     ) -> bool:
-        """Tell whether the projected peak stays below the capacity."""
+        """Return whether the projected peak stays within the capacity."""
         if not running:
             return True
         demand = copy(self._demand)
@@ -35,5 +35,5 @@
         return demand.peak(self._settings.risk) <= self.capacity
 
     def started(self, candidate: Candidate) -> None:
-        """Count the started generation in."""
+        """Add the started generation to the projection."""
         self._demand.add(candidate, 0)
