--- a/src/piershore/core/limits/__init__.py
+++ b/src/piershore/core/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of client accounts."""
+"""Rate limits of client accounts and endpoints."""
--- a/src/piershore/core/limits/account_limiter.py
+++ b/src/piershore/core/limits/account_limiter.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class AccountLimits:
-    """Limits of one account over all gateways; None is unlimited."""
+    """Limits of one account over all gateways; None means unlimited."""
 
     requests_per_second: float | None
     concurrent_requests: int | None
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class LimitRefusal:
-    """Why a request exceeds the limits, and seconds until it may be tried."""
+    """Why a request exceeds the limits, and the seconds until a retry may succeed."""
 
     reason: RefusalReason
     retry_after: float
@@ -33,11 +33,11 @@
 
 
 class AccountLimiter:
-    """Token bucket and concurrency count for each account.
+    """Token bucket and concurrency limit for each account.
 
-    `share` is this gateway's part of every limit, between 0 and 1. Bound: with
-    N gateways whose shares add up to s, all together admit at most s times the
-    limit and one burst each.
+    `share` is this gateway's fraction of every limit, between 0 and 1. If the shares of
+    all gateways add up to s, the gateways together admit at most s times the limit,
+    plus one burst per gateway.
     """
 
     def __init__(self, share: float = 1.0) -> None:
@@ -45,13 +45,13 @@
         self._usage: dict[str, _Usage] = {}
 
     def set_share(self, share: float) -> None:
-        """Change this gateway's part of the limits."""
+        """Set this gateway's fraction of the limits."""
         self._share = share
 
     def admit(
         self, account: str, limits: AccountLimits, now: float
     ) -> LimitRefusal | None:
-        """Count a request in, or say why not."""
+        """Admit and count a request, or return why it is refused."""
         usage = self._refill(account, limits, now)
         if limits.concurrent_requests is not None:
             allowed = max(1, int(limits.concurrent_requests * self._share))
@@ -66,7 +66,7 @@
         return None
 
     def release(self, account: str) -> None:
-        """Note that an admitted request is over."""
+        """Record the end of an admitted request."""
         self._usage[account].running -= 1
 
     def _refill(self, account: str, limits: AccountLimits, now: float) -> _Usage:
--- a/src/piershore/core/limits/endpoint_rate.py
+++ b/src/piershore/core/limits/endpoint_rate.py
@@ -1,20 +1,20 @@
-"""The rate that one endpoint takes from the only process that sends to it."""
+"""Rate limiter for an endpoint that only one process sends requests to."""
 
 from __future__ import annotations
 
 from piershore.core.limits.token_bucket import TokenBucket
 
 CROSSING_SECONDS = 0.5
-"""Answers may overtake each other by this much: one without a rate ends a limit only
-if it comes so long after the last one that named it."""
+"""Time by which answers may overtake each other. An answer without a rate limit ends a
+limit only if it arrives this long after the last answer that advertised it."""
 LOWEST_RATE = 0.1
-"""Requests a second that are sent to an endpoint that takes fewer, or none: its answers
-tell when that is over."""
+"""Minimum rate of requests, also if an endpoint advertises a lower limit or zero: only
+answers to requests can show that the limit has changed."""
 BURST_SECONDS = 1.0
 
 
 class EndpointRate:
-    """Permits for requests; without a limit there is always one."""
+    """Permits for requests; without a limit a permit is always available."""
 
     def __init__(self) -> None:
         self._rate: float | None = None
@@ -22,7 +22,10 @@
         self._bucket = TokenBucket(0.0, 0.0)
 
     def record_answer(self, rate: float | None, now: float) -> None:
-        """Take the rate that an answer names, in requests a second, if it names one."""
+        """Record the rate limit that an answer advertises in requests per second.
+
+        `rate` is None if the answer advertises no limit.
+        """
         if rate is None:
             if now - self._named_at >= CROSSING_SECONDS:
                 self._rate = None
@@ -35,7 +38,7 @@
         self._rate, self._named_at = rate, now
 
     def take(self, now: float) -> bool:
-        """Take a permit, if there is one."""
+        """Take a permit if one is available; return whether it was."""
         if self.seconds_left(now):
             return False
         if self._rate is not None:
@@ -43,7 +46,10 @@
         return True
 
     def seconds_left(self, now: float, waiting: int = 0) -> float:
-        """Return when a request may be sent after some that wait; 0 if that is now."""
+        """Return the seconds until a permit is available for a request.
+
+        The request is preceded by `waiting` others; 0 means now.
+        """
         if self._rate is None:
             return 0.0
         self._refill(now)
--- a/src/piershore/core/limits/return_schedule.py
+++ b/src/piershore/core/limits/return_schedule.py
@@ -1,9 +1,9 @@
-"""When refused callers come back to places that are given out at a rate.
+"""Retry times of refused callers, spread at the rate that endpoints accept.
 
-The load pattern: all endpoints of a service take fewer requests than come. Callers that
-are all told when the next place is free come back together, and all but one of them are
-refused again. So each is told of a place of its own, after those that others were told
-of before.
+The load pattern: all endpoints of a service accept fewer requests than arrive. If all
+refused callers were told when the next request is accepted, they would retry together,
+and all but one would be refused again. So each caller gets a retry time of its own,
+after those given to earlier callers.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from math import isinf
 
 LONGEST_SECONDS = 30.0
-"""Latest time that a caller is told: a rate rarely stays so low for longer."""
+"""Upper bound of retry times: a rate rarely stays this low for longer."""
 
 
 class ReturnSchedule:
-    """Gives out the places of one service; times are in seconds."""
+    """Assigns retry times for one service; times are in seconds."""
 
     def __init__(self) -> None:
         self._last_place = float("-inf")
 
     def book(self, first: float, rate: float, now: float) -> float:
-        """Return in how many seconds the next place is free that nobody was told of.
+        """Reserve the next free retry time; return the seconds until then.
 
-        `first` is when the first place is free, inf if that isn't known, and `rate`
-        places a second follow.
+        `first` is the number of seconds until the first request is accepted, or inf if
+        that is unknown; after it, `rate` requests per second are accepted.
         """
         gap = 1 / rate
         first = gap if isinf(first) else first
