--- a/src/piershore/core/routing/__init__.py
+++ b/src/piershore/core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choice of endpoint and retry budgets."""
+"""Endpoint selection, apertures and backoff."""
--- a/src/piershore/core/routing/aperture.py
+++ b/src/piershore/core/routing/aperture.py
@@ -1,4 +1,4 @@
-"""Which endpoints of a service a gateway keeps links to."""
+"""The aperture: the endpoints of a service that a gateway keeps links to."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 ) -> frozenset[str]:
     """Return up to `size` endpoints, most of them in the gateway's own data hall.
 
-    `halls` maps each endpoint of the service to its data hall. One in
-    `REMOTE_SHARE` is elsewhere, so that a crowded or lost hall is not all that a
-    gateway knows. Each gateway ranks the endpoints by its own hash, so the links
-    spread evenly, and an endpoint that comes or goes moves few of them.
+    `halls` maps each endpoint of the service to its data hall. One in `REMOTE_SHARE`
+    endpoints is in another data hall, so that the gateway can still send requests when
+    its own is overloaded or lost. Each gateway ranks the endpoints by its own hash, so
+    that links spread evenly and few change when an endpoint is added or removed.
     """
     ranked = rendezvous_order(gateway, halls)
     local = [name for name in ranked if halls[name] == data_hall]
--- a/src/piershore/core/routing/endpoint_choice.py
+++ b/src/piershore/core/routing/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Ways to choose an endpoint, in a registry that the settings name."""
+"""Load balancing policies, registered by the value of the setting."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EndpointChoice(ABC):
-    """Chooses among the endpoints that take work."""
+    """Chooses among the endpoints that accept work."""
 
     def __init__(self, data_hall: str, random: Random) -> None:
         self._data_hall = data_hall
@@ -24,10 +24,10 @@
 
     @abstractmethod
     def choose(self, endpoints: Sequence[EndpointState], prompt: str) -> EndpointState:
-        """Return one of `endpoints`, which isn't empty."""
+        """Return one of `endpoints`, which must not be empty."""
 
     def cost(self, endpoint: EndpointState) -> float:
-        """Return the expected work, with a penalty for another data hall."""
+        """Return the expected work, plus a penalty for another data hall."""
         is_remote = endpoint.data_hall != self._data_hall
         return endpoint.expected_work + (REMOTE_HALL_PENALTY if is_remote else 0.0)
 
@@ -38,7 +38,7 @@
 def endpoint_choice(
     name: str,
 ) -> Callable[[type[EndpointChoice]], type[EndpointChoice]]:
-    """Register a way to choose under the name that the settings give."""
+    """Register a policy under its setting value."""
 
     def register(choice: type[EndpointChoice]) -> type[EndpointChoice]:
         CHOICES[name] = choice
@@ -49,26 +49,26 @@
 
 @endpoint_choice("random")
 class RandomChoice(EndpointChoice):
-    """Any endpoint; the baseline."""
+    """Baseline: any endpoint, at random."""
 
     def choose(self, endpoints: Sequence[EndpointState], prompt: str) -> EndpointState:
-        """Return any of `endpoints`."""
+        """Return one of `endpoints` at random."""
         return self._random.choice(endpoints)
 
 
 @endpoint_choice("least_work_of_two")
 class LeastWorkOfTwo(EndpointChoice):
-    """The less loaded of two drawn at random, so that late reports do no harm."""
+    """The less loaded of two random endpoints, which tolerates stale load reports."""
 
     def choose(self, endpoints: Sequence[EndpointState], prompt: str) -> EndpointState:
-        """Return the less loaded of two."""
+        """Return the less loaded of two random endpoints."""
         drawn = self._random.sample(endpoints, min(2, len(endpoints)))
         return min(drawn, key=self.cost)
 
 
 @endpoint_choice("prefix_affinity")
 class PrefixAffinity(LeastWorkOfTwo):
-    """The endpoint that likely holds the prompt's prefix, unless it is crowded."""
+    """The endpoint likely to have cached the prompt's prefix, unless overloaded."""
 
     def choose(self, endpoints: Sequence[EndpointState], prompt: str) -> EndpointState:
         """Return a preferred endpoint for the prefix, or the less loaded of two."""
--- a/src/piershore/core/routing/endpoint_state.py
+++ b/src/piershore/core/routing/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one endpoint."""
+"""The state of one endpoint as known by a gateway."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """An agent's report, as old as its way here."""
+    """The load that an agent last reported."""
 
     running: int = 0
     queued: int = 0
@@ -20,8 +20,8 @@
 class EndpointState:
     """An endpoint that this gateway has a link to.
 
-    `unreported` counts the requests sent since the last report, which the
-    report can't hold yet; `recent_prefixes` are hints only.
+    `unreported` counts the requests sent since the last report, which that report can't
+    include.
     """
 
     name: str
@@ -35,12 +35,12 @@
 
     @property
     def takes_work(self) -> bool:
-        """Whether new requests may be sent to it, unless it rests."""
+        """Whether new requests may be sent to it, apart from a requested backoff."""
         return self.is_open and not self.is_leaving
 
     @property
     def expected_work(self) -> float:
-        """Requests that it has on its hands, as far as can be told."""
+        """Estimated work in queued, unreported and running requests."""
         queued = self.report.queued + self.unreported
         pressure = self.report.running * (1.0 - self.report.free_share)
         return queued * 2.0 + pressure + self.report.running * 0.1
--- a/src/piershore/core/routing/rest.py
+++ b/src/piershore/core/routing/rest.py
@@ -1,21 +1,21 @@
-"""For how long an endpoint wants nothing."""
+"""The backoff that an endpoint requests."""
 
 from __future__ import annotations
 
 
 class Rest:
-    """The latest end of all rests that one endpoint has asked for.
+    """The latest end of all backoffs that one endpoint has requested.
 
-    A shorter one that is asked for later doesn't end it, and neither does a success.
+    Neither a later request for a shorter backoff nor a success ends it.
     """
 
     def __init__(self) -> None:
         self._until = float("-inf")
 
     def note(self, seconds: float, now: float) -> None:
-        """Note that the endpoint wants nothing for some seconds."""
+        """Extend the backoff to at least `seconds` from now."""
         self._until = max(self._until, now + seconds)
 
     def seconds_left(self, now: float) -> float:
-        """Return when something may be sent, in seconds; 0 if that is now."""
+        """Return the seconds until requests may be sent again; 0 if now."""
         return max(0.0, self._until - now)
