--- a/features/large_fleet.feature
+++ b/features/large_fleet.feature
@@ -1,14 +1,14 @@
-Feature: Many gateways that choose at the same time, in virtual time
+Feature: Placement by many gateways at the same time, in virtual time
 
-  # Gateways hear of each other's work once in 1.1 s. All chose the engine that these
-  # views showed empty: 18 generations were there while 2 were known, others stood idle,
-  # and one of ten first tokens came after 2.6 s, though a quarter of the fleet's time
-  # to read prompts was used.
-  Scenario Outline: <gateways> gateways before <engines> engines on a calm day
+  # Guards against gateways that overload one engine. Gateways received each other's load
+  # only every 1.1 s, and all chose the engine that these views showed as empty: it had 18
+  # generations while 2 were known, and other engines were idle. One in ten first tokens
+  # came after 2.6 s, though a quarter of the fleet's time for prompts was used.
+  Scenario Outline: <gateways> gateways in front of <engines> engines under steady load
     Given <gateways> gateways before <engines> engines, <starts> generations a second
     When they serve for 12 seconds
-    Then 9 of 10 first tokens come within 1.0 s
-    And generations are placed within 2.0 of the least loaded engine in the mean
+    Then 9 of 10 first tokens arrive within 1.0 s
+    And chosen engines have on average at most 2.0 more generations than the least loaded
 
     Examples:
       | gateways | engines | starts |
@@ -17,28 +17,28 @@
       | 68       | 31      | 28     |
       | 100      | 31      | 28     |
 
-  # The same views at 2.5 times the load: one of ten first tokens came after 4.1 s, and 18
-  # of 1000 generations were preempted, while other engines had room.
+  # With the same stale views, at 2.5 times the load one in ten first tokens came after
+  # 4.1 s, and 18 of 1000 generations were preempted while other engines had free memory.
   Scenario: 68 gateways at 2.5 times the load
     Given 68 gateways before 31 engines, 70 generations a second
-    And they refuse what no engine has memory for
+    And they refuse generations that no engine has memory for
     When they serve for 12 seconds
-    Then 9 of 10 first tokens come within 1.5 s
+    Then 9 of 10 first tokens arrive within 1.5 s
     And at most 5 of 1000 generations are preempted
 
-  # A sixth of the engines goes each 3.3 s with a notice of 1.8 s: what was moved and what
-  # was new met at the engines that seemed empty. One of ten first tokens came after 2.0
-  # s, and 16 of 1000 long generations were lost with their engines.
-  Scenario: 68 gateways whose engines leave together, again and again
+  # A sixth of the engines leaves every 3.3 s with a notice of 1.8 s. Moved and new
+  # generations were placed on the same engines, which seemed empty: one in ten first
+  # tokens came after 2.0 s, and 16 of 1000 long generations were lost with their engines.
+  Scenario: 68 gateways whose engines repeatedly leave in groups
     Given 68 gateways before 31 engines, 28 generations a second
-    And 5 engines leave together each 3.3 s
+    And 5 engines leave together every 3.3 s
     When they serve for 12 seconds
-    Then 9 of 10 first tokens come within 1.0 s
+    Then 9 of 10 first tokens arrive within 1.0 s
     And at most 10 of 1000 long generations are lost
 
   Scenario Outline: <gateways> gateways share <endpoints> endpoints
-    Then <gateways> gateways choose from <chosen> of <endpoints> endpoints each
-    And each endpoint has <least> to <most> gateways, which are told of its starts
+    Then each of <gateways> gateways chooses from <chosen> of <endpoints> endpoints
+    And each endpoint is shared by <least> to <most> gateways, which get its load updates
 
     Examples:
       | gateways | endpoints | chosen | least | most |
@@ -51,15 +51,15 @@
       | 68       | 31        | 12     | 26    | 27   |
       | 410      | 2300      | 12     | 2     | 3    |
 
-  Scenario: a subset whose endpoints all fail or are full
-    Then a generation is placed at another endpoint, if there is one
+  Scenario: A subset whose endpoints are all failing or full
+    Then a generation is placed at an endpoint outside the subset, if there is one
 
-  Scenario: notes of load and reports in any order
-    Then a note counts until the next report of its gateway, and never after a newer one
+  Scenario: Load updates and reports in any order
+    Then a load update counts until its gateway's next report, and not after a newer one
 
-  Scenario Outline: news in a fleet of <gateways> gateways
-    Then a herd of failures costs each of <gateways> gateways at most 1200 datagrams a second
-    And of <gateways> gateways some 12 pass a departure on, or all others if these are fewer
+  Scenario Outline: Triggered reports in a fleet of <gateways> gateways
+    Then simultaneous failures cost each of <gateways> gateways at most 1200 datagrams per second
+    And of <gateways> gateways about 12 forward a departure, or all others if there are fewer
 
     Examples:
       | gateways |
--- a/features/restarted_endpoints.feature
+++ b/features/restarted_endpoints.feature
@@ -1,36 +1,36 @@
-Feature: Endpoints that start again under their names
+Feature: Endpoints that restart under the same name
 
   @at_most_once
-  Scenario: incarnations in any order of news
-    Then the newest incarnation ever seen of a name is listed, and no earlier one
+  Scenario: Incarnations in any order of updates
+    Then only the newest incarnation observed of each name is listed
 
-  # The streams were waited for until their callers left, since the connections of the
-  # earlier incarnation stayed silent behind a cut.
+  # Guards against waiting for streams of an earlier incarnation until their callers leave:
+  # behind a network cut its connections stay open and silent.
   @tokens_once_in_order
-  Scenario: the endpoint of a stream starts anew, and there is a backup
-    Given model engines whose entries tell their birth
-    When a large stream of 200 events runs and its endpoint starts anew
+  Scenario: The endpoint of a stream with a backup restarts
+    Given model engines whose entries have a start time
+    When a large stream of 200 events runs and its endpoint restarts
     Then all events came once and in order, from 1 run
-    And it went on at another endpoint within 1.0 s
+    And it was continued at another endpoint within 1.0 s
 
   @tokens_once_in_order @at_most_once
-  Scenario: the endpoint of a stream starts anew, and there is no copy
-    Given model engines whose entries tell their birth
-    When a small stream of 200 events runs and its endpoint starts anew
+  Scenario: The endpoint of a stream without a copy restarts
+    Given model engines whose entries have a start time
+    When a small stream of 200 events runs and its endpoint restarts
     Then what came is in order and visibly not whole, from 1 run
-    And its caller saw that within 1.0 s
+    And it ended for its caller within 1.0 s
 
   @tokens_once_in_order
-  Scenario: an engine's report tells first that it has started anew
+  Scenario: An engine's report is the first to show its restart
     Then a silent stream is given up if a later incarnation answers
-    And a report of an earlier incarnation changes nothing
+    And a report from an earlier incarnation is ignored
 
-  Scenario: what was known of the earlier incarnation
-    Given model engines whose entries tell their birth
-    When one that leaves and fails starts anew
-    Then it gets new work, and nothing of before counts
+  Scenario: State of the earlier incarnation
+    Given model engines whose entries have a start time
+    When an engine that leaves and fails restarts
+    Then it gets new work, and state of its earlier incarnation is ignored
 
-  Scenario: an old entry comes after the restart
-    Given model engines whose entries tell their birth
-    When one starts anew and an old entry that it leaves comes late
-    Then it gets new work, and nothing of before counts
+  Scenario: An outdated entry arrives after the restart
+    Given model engines whose entries have a start time
+    When an engine restarts and its earlier entry, now leaving, arrives late
+    Then it gets new work, and state of its earlier incarnation is ignored
--- a/features/steps/core_admission_steps.py
+++ b/features/steps/core_admission_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the queue before an engine, by the core alone."""
+"""Steps for the queue in front of an engine, without any I/O."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def teach(context, length):
-    """Let the queue learn that answers are `length` tokens long."""
+    """Train the queue with answers of `length` tokens."""
     for number in range(100):
         one = candidate(f"learn{number}")
         context.queue.submit(one, 0.0)
--- a/features/steps/core_limit_steps.py
+++ b/features/steps/core_limit_steps.py
@@ -1,4 +1,4 @@
-"""Steps for limits, budgets and apertures, by the core alone."""
+"""Steps for rate limits, retry budgets and apertures, without any I/O."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def count_retries(gateways, tries, share):
-    """Return the retries that are allowed when each try wants one, in one moment."""
+    """Return the retries allowed if every first attempt requests one at the same time."""
 
     async def spend():
         shares = [Retries(share, lambda: gateways) for _ in range(gateways)]
--- a/features/steps/ingress_belief_steps.py
+++ b/features/steps/ingress_belief_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what gateways believe of versions, endpoints, peers and the store."""
+"""Steps for a gateway's view of versions, endpoints, peers and the store."""
 
 from __future__ import annotations
 
@@ -105,7 +105,7 @@
                     identity, now, after_outage=action == "lapse"
                 )
             departed += directory.drop_lapsed(now)
-            # An entry that only went may be listed again: it was cut off.
+            # An endpoint whose entry was only removed may be listed again: it was unreachable.
             left.update(d.endpoint.identity for d in departed if not d.is_gone)
             assert not left & {e.identity for e in directory.of_service("s")}
 
@@ -130,7 +130,7 @@
         for hall in set(halls):
             size = min(2, halls.count(hall))
             found = sum(g.data_hall == f"h{hall}" for g in watching)
-            # A fleet with a single watcher has too few to rely on.
+            # A fleet of at most two gateways has too few watchers to rely on.
             assert found == size or len(fleet) <= 2, (hall, found)
         deaf = [replace(g, reads_store=False) for g in fleet]
         own = WatcherView("x", "h0", True, 10.0)
@@ -194,7 +194,7 @@
 
 
 LOST_REPORTS = 0.02
-"""Part of the datagrams that a busy network loses."""
+"""Share of the datagrams that a busy network loses."""
 
 
 @then("with {gateways:d} gateways each counts all others as living, at any time")
@@ -214,16 +214,16 @@
 
 
 @then(
-    "a herd of failures costs each of {gateways:d} gateways at most {most:d} datagrams "
-    "a second"
+    "simultaneous failures cost each of {gateways:d} gateways at most {most:d} datagrams "
+    "per second"
 )
 def check_news(context, gateways, most):
     assert (gateways - 1) / news_gap(gateways - 1) <= most
 
 
 @then(
-    "of {gateways:d} gateways some {number:d} pass a departure on, or all others if "
-    "these are fewer"
+    "of {gateways:d} gateways about {number:d} forward a departure, or all others if "
+    "there are fewer"
 )
 def check_passing_on(context, gateways, number):
     peers = gateways - 1
@@ -256,7 +256,7 @@
 
 
 def store_signs(text):
-    """Read signs as "0.2, 4 overdue": seconds since an answer, by gateway."""
+    """Parse signs like "0.2, 4 overdue": seconds since an answer, by gateway."""
     for word in text.split(","):
         age, _, mark = word.strip().partition(" ")
         yield StoreSign(float(age), mark == "overdue")
--- a/features/steps/ingress_placement_steps.py
+++ b/features/steps/ingress_placement_steps.py
@@ -1,4 +1,4 @@
-"""Steps for loads, placement and plans of moves."""
+"""Steps for loads, placement and evacuation plans."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 NOTHING = {"i-0": NO_LOAD}
-"""A report may name an endpoint without any load there."""
+"""A report may include an endpoint without any load."""
 
 
 HISTORY = st.lists(st.tuples(st.sampled_from("abc"), REPORTS, st.booleans()))
@@ -121,10 +121,10 @@
 
 
 class OnceReadLoads(dict):
-    """A report that may be read once, when it is taken."""
+    """A report that may only be iterated, when it is applied, and never looked up."""
 
     def get(self, *arguments):
-        raise AssertionError("a report was looked up again")
+        raise AssertionError("a report was looked up during a placement")
 
     __getitem__ = __contains__ = get
 
@@ -178,7 +178,7 @@
 
 
 class CountedLoads(FleetLoad):
-    """Counts how often a load is looked up."""
+    """Loads that count their lookups."""
 
     def __init__(self):
         super().__init__()
--- a/features/steps/large_fleet_steps.py
+++ b/features/steps/large_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps for many gateways that choose at once, played in virtual time."""
+"""Steps for many gateways that place requests at the same time, in virtual time."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
     )
 
 
-@given("they refuse what no engine has memory for")
+@given("they refuse generations that no engine has memory for")
 def given_refusals(context):
     context.settings = replace(context.settings, refuses=True)
 
 
-@given("{count:d} engines leave together each {seconds:g} s")
+@given("{count:d} engines leave together every {seconds:g} s")
 def given_reclaims(context, count, seconds):
     context.settings = replace(
         context.settings, reclaim_every=seconds, reclaim_count=count
@@ -65,7 +65,7 @@
     context.streams = context.fleet.run()
 
 
-@then("9 of 10 first tokens come within {seconds:g} s")
+@then("9 of 10 first tokens arrive within {seconds:g} s")
 def check_first_tokens(context, seconds):
     waits = sorted(s.first_at - s.arrived_at for s in context.streams if s.first_at)
     unserved = sum(s.refusals > 1 or s.is_lost for s in context.streams)
@@ -86,7 +86,10 @@
     assert lost <= most, lost
 
 
-@then("generations are placed within {most:g} of the least loaded engine in the mean")
+@then(
+    "chosen engines have on average at most {most:g} more generations than the least "
+    "loaded"
+)
 def check_excess(context, most):
     excess = mean(placing.excess for placing in context.fleet.placings)
     assert excess <= most, excess
@@ -111,7 +114,9 @@
         yield own, subsets
 
 
-@then("{gateways:d} gateways choose from {chosen:d} of {endpoints:d} endpoints each")
+@then(
+    "each of {gateways:d} gateways chooses from {chosen:d} of {endpoints:d} endpoints"
+)
 def check_subsets(context, gateways, chosen, endpoints):
     listed = list(fleet_of(endpoints))
     Random(SEED).shuffle(listed)
@@ -125,7 +130,10 @@
     assert {len(chosen) for chosen in context.chosen.values()} == {chosen}
 
 
-@then("each endpoint has {least:d} to {most:d} gateways, which are told of its starts")
+@then(
+    "each endpoint is shared by {least:d} to {most:d} gateways, which get its load "
+    "updates"
+)
 def check_sharers(context, least, most):
     teller, subsets = next(iter(context.subsets.items()))
     counts = set()
@@ -138,7 +146,7 @@
     assert (min(counts), max(counts)) == (least, most), counts
 
 
-@then("a generation is placed at another endpoint, if there is one")
+@then("a generation is placed at an endpoint outside the subset, if there is one")
 def check_fallback(context):
     directory, loads = directory_of(fleet_of(40)), FleetLoad()
     subsets = EndpointSubsets("10.0.0.1", directory)
@@ -166,7 +174,7 @@
     return LoadNote("peer", incarnation, number, "i-0", EndpointLoad(requests))
 
 
-@then("a note counts until the next report of its gateway, and never after a newer one")
+@then("a load update counts until its gateway's next report, and not after a newer one")
 def check_notes(context):
     table, loads = PeerTable("self", (), 0.0), FleetLoad()
 
@@ -176,12 +184,12 @@
             loads.take_part(told.host, told.endpoint, told.load)
         return loads.at("i-0").requests
 
-    assert take_note(1, 5) == 0, "a note of a gateway that isn't known"
+    assert take_note(1, 5) == 0, "an update from an unknown gateway"
     table.take(peer_report("peer", 2), 0.0)
     loads.take_report("peer", {"i-0": EndpointLoad(1), "i-1": EndpointLoad(1)}, 0.0)
     assert take_note(3, 2) == 2
-    assert take_note(3, 2) == 2, "a note that came twice"
-    assert take_note(1, 7) == 2, "a note from before the report"
+    assert take_note(3, 2) == 2, "a repeated update"
+    assert take_note(1, 7) == 2, "an update from before the report"
     assert take_note(9, 7, "another life") == 2
     assert loads.at("i-1").requests == 1
     loads.take_report("peer", {"i-0": EndpointLoad(4)}, 1.0)
--- a/features/steps/output_length_steps.py
+++ b/features/steps/output_length_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the output lengths that are expected."""
+"""Steps for expected output lengths."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass
 class Outputs:
-    """Outputs of one route, drawn from a seed, and what a gateway has learned."""
+    """Random outputs of one route, and the lengths that a gateway learned from them."""
 
     median: float
     spread: float
@@ -32,7 +32,7 @@
     now: float = 0.0
 
     def draw(self):
-        """Return one more generation's size and length."""
+        """Return the size and the length of one more generation."""
         self.now += EVERY_SECONDS
         length = self.median * self.random.lognormvariate(0, self.spread)
         length = max(1, min(MOST, round(length)))
@@ -40,32 +40,31 @@
         return GenerationSize(3_000, MOST, guess), length
 
     def end(self, count):
-        """Let some generations end."""
+        """Record the end of `count` generations."""
         for _ in range(count):
             size, length = self.draw()
             self.lengths.record(ROUTE, size, length, self.now)
 
     def estimate(self, size):
-        """Return what the gateway expects."""
+        """Return the gateway's estimate."""
         return self.lengths.estimate(ROUTE, size, self.now)
 
 
 @given(
-    "outputs of median {median:g} that differ by {spread:g}, of which {count:d} have"
-    " ended"
+    "outputs with median {median:g} and spread {spread:g}, of which {count:d} have ended"
 )
 def given_outputs(context, median, spread, count):
     context.outputs = Outputs(median, spread, OutputLengths(), Random(5))
     context.outputs.end(count)
 
 
-@when("outputs of median {median:g} that differ by {spread:g} have come for 8 minutes")
+@when("outputs with median {median:g} and spread {spread:g} have arrived for 8 minutes")
 def shift(context, median, spread):
     context.outputs.median, context.outputs.spread = median, spread
     context.outputs.end(int(480 / EVERY_SECONDS))
 
 
-@when("a gateway starts and hears of them from a peer")
+@when("a gateway starts and receives a peer's report of them")
 def start_gateway(context):
     outputs = context.outputs
     told = outputs.lengths.report(outputs.now)
@@ -73,10 +72,10 @@
     outputs.lengths.take_report("peer", told, outputs.now)
 
 
-@then("400 more come to 0.85 to 1.15 times the tokens expected of them")
+@then("400 more have 0.85 to 1.15 times the tokens expected of them")
 def check_sum(context):
     drawn = [context.outputs.draw() for _ in range(400)]
-    # What a peer told counts for a time; nothing is learned from these.
+    # Turn the clock back so that a peer's report doesn't expire; these aren't recorded.
     context.outputs.now -= 400 * EVERY_SECONDS
     context.drawn = drawn
     expected = sum(context.outputs.estimate(s).mean_remaining(0) for s, _ in drawn)
@@ -84,7 +83,7 @@
     assert 0.85 < ratio < 1.15, ratio
 
 
-@then("so does what is left of them after 300 tokens")
+@then("after 300 tokens they have 0.8 to 1.2 times the tokens expected of the rest")
 def check_rest(context):
     longer = [(s, length) for s, length in context.drawn if length > MADE]
     estimates = (context.outputs.estimate(size) for size, _ in longer)
@@ -93,7 +92,7 @@
     assert 0.8 < ratio < 1.2, ratio
 
 
-@then("what is left of an output is its mean given what was made, at any length")
+@then("the remaining length of an output is its conditional mean, at any length")
 def check_mean(context):
     @checked(
         st.floats(1, 5_000),
@@ -118,7 +117,7 @@
         assert abs(rest - mean) <= 5 * deviation / len(longer) ** 0.5 + 0.5
 
 
-@then("the better the guesses were, the more an estimate follows them")
+@then("the more accurate hints were, the more an estimate follows them")
 def check_guesses(context):
     medians = []
     for guess_spread in (0.1, 0.6, 2.0):
--- a/features/steps/restarted_endpoint_steps.py
+++ b/features/steps/restarted_endpoint_steps.py
@@ -1,4 +1,4 @@
-"""Steps for endpoints that start again under their names."""
+"""Steps for endpoints that restart under the same name."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 BORN, REBORN = 1_700_000_000_000, 1_700_000_009_000
 LARGE_SIZE = "11000,{}"
-"""Prompt tokens that get a backup."""
+"""Stream size whose prompt is long enough for a backup."""
 SIZES = {"large": LARGE_SIZE, "small": SMALL_SIZE}
 
 
-@then("the newest incarnation ever seen of a name is listed, and no earlier one")
+@then("only the newest incarnation observed of each name is listed")
 def check_directory(context):
     @checked(st.integers(0, 10_000))
     def check(seed):
@@ -41,7 +41,7 @@
                 departures = directory.replace_all(
                     drawn, directory.revision + 1, step, after_outage=False
                 )
-                # Of two entries with one name the list holds the last.
+                # Of two entries with the same name the last one is listed.
                 seen = {e.name: e for e in drawn}.values()
             else:
                 departures, seen = directory.put(listed), (listed,)
@@ -65,7 +65,7 @@
     return replace(endpoint(name, stage), born=BORN + random.randrange(5))
 
 
-@given("model engines whose entries tell their birth")
+@given("model engines whose entries have a start time")
 def given_born(context):
     world = context.ingress = IngressWorld()
     world.add_endpoints("model", 3)
@@ -73,7 +73,7 @@
         engine.born = BORN
 
 
-@when("a {size} stream of {count:d} events runs and its endpoint starts anew")
+@when("a {size} stream of {count:d} events runs and its endpoint restarts")
 def start_anew_midway(context, size, count):
     async def script(world):
         context.count = count
@@ -103,7 +103,7 @@
             await trio.sleep(0.005)
 
 
-@then("it went on at another endpoint within {seconds:g} s")
+@then("it was continued at another endpoint within {seconds:g} s")
 def check_went_on(context, seconds):
     arrivals = [a for e in context.ingress.endpoints for a in e.arrivals]
     continued = [a.at for a in arrivals if "kv-from" in a.headers]
@@ -111,7 +111,7 @@
     assert continued[0] - context.restarted_at < seconds
 
 
-@then("its caller saw that within {seconds:g} s")
+@then("it ended for its caller within {seconds:g} s")
 def check_soon(context, seconds):
     assert context.ended_at - context.restarted_at < seconds
 
@@ -123,7 +123,7 @@
     assert judge_silence(stream, report, 0) is SilenceVerdict.GIVE_UP
 
 
-@then("a report of an earlier incarnation changes nothing")
+@then("a report from an earlier incarnation is ignored")
 def check_earlier(context):
     stream = SilentStream("r", 5, can_go_on_elsewhere=True, born=REBORN)
     report = EndpointReport(is_leaving=True, made_events={"r": 50}, born=BORN)
@@ -131,7 +131,7 @@
 
 
 async def _restart(world, *, late_entry=None):
-    """Restart the only engine that isn't out, and ask for streams."""
+    """Restart the first engine while the others drain, and request a stream."""
     _, daemon = world.gateways[0]
     state, engine = daemon._state, world.endpoints[0]
     before = f"{engine.identity}@{BORN}"
@@ -158,7 +158,7 @@
     return await world.call("stream", size="100,8")
 
 
-@when("one that leaves and fails starts anew")
+@when("an engine that leaves and fails restarts")
 def leave_and_restart(context):
     async def script(world):
         engine = world.endpoints[0]
@@ -170,7 +170,7 @@
     context.ingress.run(script)
 
 
-@when("one starts anew and an old entry that it leaves comes late")
+@when("an engine restarts and its earlier entry, now leaving, arrives late")
 def restart_and_old_entry(context):
     async def script(world):
         old = world.endpoints[0].entry("draining")
@@ -180,7 +180,7 @@
     context.ingress.run(script)
 
 
-@then("it gets new work, and nothing of before counts")
+@then("it gets new work, and state of its earlier incarnation is ignored")
 def check_new_work(context):
     assert context.reply.status == 200, vars(context.reply)
     assert context.engine.runs.total() == 1, context.engine.runs
--- a/features/support/core_checks.py
+++ b/features/support/core_checks.py
@@ -1,4 +1,4 @@
-"""What checks of the gateway's pure decisions share."""
+"""Helpers for property-based tests of the gateway's core."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def checked(*strategies, examples=300):
-    """Run a check on drawn data, the same each time."""
+    """Return a decorator that runs a check on generated data, the same in each run."""
 
     def decorate(check):
         drawn = given_data(*strategies)(check)
@@ -32,7 +32,7 @@
 
 
 def check_coded_errors(parse, inputs):
-    """Check that parsing drawn inputs raises only errors with a code."""
+    """Check that parsing generated inputs raises only errors with a code."""
 
     @checked(inputs)
     def check(data):
--- a/features/support/peer_reports.py
+++ b/features/support/peer_reports.py
@@ -1,4 +1,4 @@
-"""Reports of gateways, as their peers get them."""
+"""Reports of gateways, as received by their peers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def peer_report(host, number):
-    """Return a report of a gateway without any work."""
+    """Return the report of a gateway that has no work."""
     return PeerReport(
         host, "ikeja", "life", number, 0, 0, 0, True, False, NO_SIGN, 10.0, (), {}, {}
     )
--- a/features/support/placements.py
+++ b/features/support/placements.py
@@ -1,4 +1,4 @@
-"""A gateway's placement over endpoints and loads that a check sets up."""
+"""Placements over the endpoints and loads that a test sets up."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def placement_over(
     directory, loads, *, health=None, stalls=None, subsets=None, limits=None
 ):
-    """Return the placement of a gateway at ikeja; alone, unless it has subsets."""
+    """Return the placement of a gateway at ikeja, the only one unless given subsets."""
     subsets = subsets or EndpointSubsets("self", directory)
     configuration = CurrentConfiguration()
     shares = RateShares("self", subsets, configuration)
