--- a/src/piershore/core/fleet/output_lengths.py
+++ b/src/piershore/core/fleet/output_lengths.py
@@ -26,7 +26,7 @@
 """Weight of these priors, in observed lengths."""
 MEMORY_SECONDS = 180.0
 """Time in which the weight of an observed length decays by a factor of e: three minutes
-of a busy service have some hundred generations, and workloads change over hours."""
+of a busy service have about a hundred generations, and workloads change over hours."""
 TOLD_SECONDS = 30.0
 """How long a peer's report counts. Its lengths stay valid for a while after the peer
 departed, since it served the same workload."""
--- a/src/piershore/core/fleet/peer_report.py
+++ b/src/piershore/core/fleet/peer_report.py
@@ -25,7 +25,7 @@
 AGE_DIGITS = 3
 """Decimal places of the ages of answers; enough to order the answers."""
 SUM_DIGITS = 2
-"""Decimal places of sums of logarithms; spreads stay right within some hundredths."""
+"""Decimal places of sums of logarithms; the error of spreads is some hundredths."""
 MOST_HALVINGS = 3
 """A report that is too large keeps only the busiest endpoints: half, a quarter or an
 eighth of them."""
