--- a/src/piershore/core/configuration/__init__.py
+++ b/src/piershore/core/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration objects and their spread by version."""
+"""Configuration objects and the distribution of their versions."""
--- a/src/piershore/core/configuration/checked.py
+++ b/src/piershore/core/configuration/checked.py
@@ -1,4 +1,4 @@
-"""Checks of single fields, declared where the field is."""
+"""Validation of single fields, declared together with the field."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @dataclass(frozen=True)
 class FieldFault:
-    """A field whose value is of the right type but not allowed."""
+    """A field whose value has the right type but isn't allowed."""
 
     path: tuple[str, ...]
     message: str
 
 
 def checked(check: Check, **options: Any) -> Any:
-    """Return a data class field whose value `check` may refuse by `ValueError`."""
+    """Return a data class field; `check` raises `ValueError` for invalid values."""
     return field(metadata={CHECK: check}, **options)
 
 
 def check_fields(instance: object) -> None:
-    """Raise the first fault of a data class; for `__post_init__`."""
+    """Raise the first fault of a data class instance; for use in `__post_init__`."""
     for each in fields(instance):
         check = each.metadata.get(CHECK)
         value = getattr(instance, each.name)
@@ -36,7 +36,7 @@
 def field_faults(
     target: type, data: object, path: tuple[str, ...] = ()
 ) -> Iterator[FieldFault]:
-    """Yield the faults of plain data, although other fields may be wrong as well."""
+    """Yield the invalid values of plain data, even if other fields are invalid too."""
     if not isinstance(data, dict):
         return
     hints = get_type_hints(target)
@@ -59,24 +59,24 @@
     except ValueError as error:
         yield FieldFault(place, str(error))
     except (TypeError, AttributeError):
-        # Of a wrong type: that is another finding.
+        # A wrong type is reported as a finding of its own.
         return
 
 
 def positive(value: float) -> None:
-    """Refuse a number that isn't above 0."""
+    """Reject a number that isn't above 0."""
     if value <= 0:
         raise ValueError("must be above 0")
 
 
 def share(value: float) -> None:
-    """Refuse a number outside 0 to 1."""
+    """Reject a number outside the range 0 to 1."""
     if not 0 <= value <= 1:
         raise ValueError("must lie between 0 and 1")
 
 
 def address(value: str) -> None:
-    """Refuse what isn't host:port."""
+    """Reject text that isn't host:port."""
     host, separator, port = value.rpartition(":")
     if not separator or not host or not port.isdigit() or int(port) > 65_535:
         raise ValueError(f"{value!r} is not host:port")
--- a/src/piershore/core/configuration/codec.py
+++ b/src/piershore/core/configuration/codec.py
@@ -1,4 +1,4 @@
-"""Conversion between objects and their JSON, with every finding at once."""
+"""Conversion between objects and JSON, which reports all findings at once."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @lru_cache(maxsize=1)
 def converter() -> Converter:
-    """Return the converter that refuses unknown keys and wrong types."""
+    """Return the converter, which rejects unknown keys and wrong types."""
     strict = Converter(forbid_extra_keys=True, detailed_validation=True)
     for scalar in SCALARS:
         strict.register_structure_hook(scalar, _strict_scalar)
@@ -44,12 +44,12 @@
 
 
 def decode_spec(kind: ObjectKind, value: bytes) -> ObjectSpec:
-    """Read the contents of an object of `kind`."""
+    """Decode the contents of an object of `kind`."""
     return decode(SPEC_TYPES[kind], value)
 
 
 def decode(target: type[Structured], value: bytes) -> Structured:
-    """Read JSON as `target`; raise `InvalidObjectError` with all findings."""
+    """Decode JSON as `target`; raise `InvalidObjectError` with all findings."""
     try:
         data = orjson.loads(value)
     except orjson.JSONDecodeError as error:
@@ -58,7 +58,7 @@
 
 
 def structure(target: type[Structured], data: object) -> Structured:
-    """Turn plain data into `target`; raise `InvalidObjectError` if it isn't one."""
+    """Convert plain data to `target`; raise `InvalidObjectError` with all findings."""
     try:
         return converter().structure(data, target)
     except (ClassValidationError, IterableValidationError) as error:
--- a/src/piershore/core/configuration/config_view.py
+++ b/src/piershore/core/configuration/config_view.py
@@ -1,7 +1,7 @@
-"""What one box knows of the configuration: newest version of each object.
+"""One box's view of the configuration: the newest version of each object.
 
-The model `model/configuration.pml` calls the steps `apply` and `apply_snapshot`;
-the methods here bear the same names.
+The model `model/configuration.pml` has the steps `apply` and `apply_snapshot`; the
+methods here have the same names.
 """
 
 from __future__ import annotations
@@ -25,13 +25,14 @@
 
 
 class ConfigView:
-    """Applies changes by version, upwards only, whatever the order of arrival.
-
-    `complete_to` is the revision up to which no change is missing. Changes may
-    also be in force beyond it: an edit accepted nearby comes in ahead of the rest.
-    Versions and revisions hold the store's era (`StoreRevision`): a whole state of a
-    later era is newer than all before it, though the store counts from lower again.
-    What `recent` says that the store may have lost stays in force: it was accepted.
+    """Applies changes in any order of arrival; versions of an object only increase.
+
+    `complete_to` is the revision up to which no change is missing. Later changes may
+    be in force as well: an edit accepted nearby arrives ahead of the others.
+    Versions and revisions contain the store's era (`StoreRevision`): a snapshot of a
+    later era is newer than all earlier ones, although the restored store continues
+    from a lower number. Changes that the store may have lost according to `recent`
+    stay in force, since they were accepted.
     """
 
     def __init__(self, recent: RecentChanges | None = None) -> None:
@@ -58,20 +59,20 @@
 
     @property
     def applied_beyond(self) -> frozenset[int]:
-        """Versions that are in force although `complete_to` is lower."""
+        """Versions in force that are higher than `complete_to`."""
         return frozenset(self._applied_beyond)
 
     @property
     def unconfirmed(self) -> frozenset[ObjectName]:
-        """What is in force from an earlier era, and a whole state showed otherwise."""
+        """Objects in force from an earlier era that a snapshot had otherwise."""
         return frozenset(self._unconfirmed)
 
     def confirm(self, name: ObjectName) -> None:
-        """Note that the store has what is in force here."""
+        """Record that the store has the version in force here."""
         self._unconfirmed.discard(name)
 
     def listen(self, listener: Callable[[StoredObject], None]) -> None:
-        """Call `listener` after each change that was applied."""
+        """Call `listener` after each applied change."""
         self._listeners.append(listener)
 
     def get(self, kind: ObjectKind, name: str) -> ObjectSpec | None:
@@ -79,7 +80,7 @@
         return self._specs.get(ObjectName(kind, name))
 
     def stored(self, kind: ObjectKind, name: str) -> StoredObject | None:
-        """Return the object as stored, tombstones too."""
+        """Return the object as stored, which may be a tombstone."""
         return self._objects.get(ObjectName(kind, name))
 
     def all(self, kind: ObjectKind) -> Iterator[tuple[str, ObjectSpec]]:
@@ -89,7 +90,7 @@
                 yield name.name, spec
 
     def apply(self, change: StoredObject) -> bool:
-        """Take a change over unless a newer version is known already."""
+        """Apply a change if its version is newer; return whether it was applied."""
         known = self._objects.get(change.name)
         if known is not None and known.version >= change.version:
             return False
@@ -103,9 +104,10 @@
         return True
 
     def mark_complete(self, revision: int) -> None:
-        """Note that all changes up to `revision` have been handed in.
+        """Record that all changes up to `revision` have been applied.
 
-        Who handed them in has seen the store in that era, with all that was complete.
+        If `revision` is of a later era, their source has read the store in that era,
+        and the store had all changes up to the previous `complete_to`.
         """
         era = era_of(revision)
         if era > era_of(self._complete_to):
@@ -115,7 +117,7 @@
         self._complete_up_to(revision)
 
     def apply_snapshot(self, snapshot: Snapshot) -> bool:
-        """Take a whole state over; one older than this view changes nothing."""
+        """Apply a snapshot unless it is older than this view; return whether it was."""
         if snapshot.revision < self._complete_to:
             return False
         for stored in snapshot.objects:
@@ -126,7 +128,7 @@
             self.apply(StoredObject(name, snapshot.revision, None))
         self._unconfirmed.update(self._shown_otherwise(snapshot))
         if self._complete_to == 0:
-            # What was deleted before the first snapshot was never heard here.
+            # Deletions before the first snapshot are unknown to this view.
             self._changes_from = snapshot.revision
         self._complete_up_to(snapshot.revision)
         return True
@@ -157,7 +159,7 @@
             }
 
     def _deleted(self, snapshot: Snapshot) -> Iterator[ObjectName]:
-        """Yield what is in force here and was deleted in the store."""
+        """Yield the objects in force here that were deleted in the store."""
         shown = {stored.name for stored in snapshot.objects}
         era = era_of(snapshot.revision)
         for name, held in self._objects.items():
@@ -167,7 +169,7 @@
                 yield name
 
     def _shown_otherwise(self, snapshot: Snapshot) -> Iterator[ObjectName]:
-        """Yield what a store that came back doesn't have as it is in force here."""
+        """Yield the objects whose version in force here a restored store lacks."""
         shown = {stored.name: stored for stored in snapshot.objects}
         era = era_of(snapshot.revision)
         for name, held in self._objects.items():
@@ -195,13 +197,14 @@
         try:
             self._specs[change.name] = decode_spec(change.name.kind, change.value)
         except InvalidObjectError:
-            # Written by a newer release: what was in force before stays so.
+            # Written by a newer release: the previous contents stay in force.
             return
 
 
 def _is_same(one: StoredObject, other: StoredObject) -> bool:
-    """Tell whether two objects are the same version.
+    """Return whether two objects have the same version and contents.
 
-    Their contents differ where a number was given out twice, before and after a return.
+    A store that was restored from an older copy may assign a version number again, to
+    other contents.
     """
     return one.version == other.version and one.value == other.value
--- a/src/piershore/core/configuration/effective_account.py
+++ b/src/piershore/core/configuration/effective_account.py
@@ -1,4 +1,4 @@
-"""A client account with its template filled in."""
+"""A client account merged with its template."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     def merge(
         cls, name: str, account: ClientAccount, template: AccountTemplate
     ) -> EffectiveAccount:
-        """Lay the account's overrides over its template."""
+        """Return the template's parameters with the account's overrides."""
         base, over = template.parameters, account.overrides
 
         def pick(field: str) -> object:
@@ -59,6 +59,6 @@
 def _stricter_kinds(
     base: AccountParameters, over: AccountParameters
 ) -> tuple[str, ...]:
-    # An override adds kinds that may not repeat; it can't take any away.
+    # An override can add non-repeatable kinds, but not remove any.
     kinds = {*(base.non_repeatable_kinds or ()), *(over.non_repeatable_kinds or ())}
     return tuple(sorted(kinds))
--- a/src/piershore/core/configuration/exceptions.py
+++ b/src/piershore/core/configuration/exceptions.py
@@ -6,7 +6,7 @@
 
 
 class InvalidObjectError(PiershoreError):
-    """The object can't be read as its kind; `findings` names every fault."""
+    """The object can't be decoded as its kind; `findings` lists every fault."""
 
     code = "invalid_object"
 
--- a/src/piershore/core/configuration/objects.py
+++ b/src/piershore/core/configuration/objects.py
@@ -1,4 +1,4 @@
-"""The kinds of object that operators and agents keep in the platform."""
+"""The kinds of objects that operators and agents store in the platform."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ObjectKind(StrEnum):
-    """Kinds of object; the values are the platform's collection names."""
+    """Kinds of objects; the values are the platform's collection names."""
 
     TEMPLATE = "AccountTemplate"
     ACCOUNT = "ClientAccount"
@@ -26,7 +26,7 @@
 
 
 class ServiceType(StrEnum):
-    """What stands behind a service."""
+    """Whether a service is served by model engines or is a plain service."""
 
     MODEL = "model"
     PLAIN = "plain"
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True)
 class WorkingHours:
-    """Local hours of a client account: ``start``/``end`` as HH:MM.
+    """Local working hours of a client account; ``start`` and ``end`` as HH:MM.
 
-    ``days`` counts from Monday = 0. An end before the start is on the next day.
+    ``days`` are weekdays, Monday = 0. An end before the start is on the next day.
     """
 
     time_zone: str = checked(_known_time_zone)
@@ -64,7 +64,7 @@
         check_fields(self)
 
     def contains(self, moment: datetime) -> bool:
-        """Tell whether the aware `moment` lies within the hours."""
+        """Return whether the timezone-aware `moment` lies within the hours."""
         local = moment.astimezone(ZoneInfo(self.time_zone))
         start = time.fromisoformat(self.start)
         end = time.fromisoformat(self.end)
@@ -78,9 +78,9 @@
 
 @dataclass(frozen=True)
 class AccountParameters:
-    """What a template sets and an account may override; None inherits.
+    """Parameters that a template sets and an account may override; None inherits.
 
-    A higher priority is served first. Rates are requests a second.
+    Requests of a higher priority are served first. Rates are in requests a second.
     """
 
     working_hours: WorkingHours | None = None
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True)
 class ClientAccount:
-    """One customer: its template, its bearer keys (SHA-256, hex) and overrides."""
+    """A customer: its template, bearer keys (SHA-256, hex) and overrides."""
 
     template: str
     key_hashes: tuple[str, ...] = ()
@@ -112,10 +112,10 @@
 
 @dataclass(frozen=True)
 class AdmissionSettings:
-    """How a service's agents admit: the policy's name and its numbers.
+    """How a service's agents admit requests: the policy and its parameters.
 
-    `risk` is the share of cases in which the projected peak may be exceeded;
-    `token_pace` is the aim for the time between tokens in seconds.
+    `risk` is the accepted fraction of cases in which the projected peak is exceeded;
+    `token_pace` is the target time between tokens in seconds.
     """
 
     policy: str = "projected_peak"
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """A model service or a plain service and the request kinds that it takes."""
+    """A model service or a plain service and the request kinds that it accepts."""
 
     type: ServiceType
     kinds: tuple[str, ...]
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True)
 class EndpointStatus:
-    """An endpoint as its agent announced it; `drain` is set by operators."""
+    """An endpoint as announced by its agent; `drain` is set by operators."""
 
     service: str
     data_hall: str
--- a/src/piershore/core/configuration/relays.py
+++ b/src/piershore/core/configuration/relays.py
@@ -1,4 +1,4 @@
-"""Which gateways of a data hall hold the watches on the platform."""
+"""Selection of the gateways that watch the platform for their data hall."""
 
 from __future__ import annotations
 
@@ -10,18 +10,17 @@
 
 
 def rendezvous_order(key: str, members: Iterable[str]) -> list[str]:
-    """Return the members, the most preferred for `key` first."""
+    """Return the members by rendezvous hashing, the most preferred for `key` first."""
     return sorted(members, key=lambda member: (stable_hash(key, member), member))
 
 
 def relays_of(
     data_hall: str, gateways: Iterable[str], *, preferred: Container[str] = ()
 ) -> list[str]:
-    """Return the gateways that relay in `data_hall`, among those believed live; those
-    that are `preferred` go before the others.
+    """Return the relays of `data_hall` among the gateways that are assumed live.
 
-    Two boxes with other lists may both think that they relay; that only costs
-    a few watches more.
+    Gateways that are `preferred` are chosen before the others. Boxes with different
+    lists may choose different relays, which only costs a few additional watches.
     """
     order = rendezvous_order(f"relay/{data_hall}", gateways)
     order.sort(key=lambda gateway: gateway not in preferred)
--- a/src/piershore/core/configuration/stored_object.py
+++ b/src/piershore/core/configuration/stored_object.py
@@ -19,8 +19,9 @@
 class StoredObject:
     """One version of an object; `value` is JSON, or None for a tombstone.
 
-    Versions come from one counter of the platform, so they order all changes.
-    `write_ids` names the last writes, newest last, to settle lost answers.
+    Versions come from a single counter of the platform, so they order all changes.
+    `write_ids` identifies the last writes, newest last: a writer whose answer was lost
+    finds out whether its write took effect.
     """
 
     name: ObjectName
