--- a/src/piershore/core/ownership/claim.py
+++ b/src/piershore/core/ownership/claim.py
@@ -1,4 +1,4 @@
-"""What an agent remembers of one non-repeatable key, and what it decides."""
+"""An agent's claims of non-repeatable keys and its decisions about them."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """The kept answer of a plain call: HTTP status and body.
+    """The stored answer of a plain call: HTTP status and body.
 
-    If its answer said so, `rest_seconds` is how long the service wants no calls, and
-    `rate_limit` how many it takes a second.
+    `backoff_seconds` is the backoff that the service requested with its answer, and
+    `rate_limit` the calls a second that it advertised; None if it didn't.
     """
 
     status: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """State of a key that was accepted; `answer` is dropped when evicted."""
+    """State of an accepted key; `answer` is dropped when it is evicted."""
 
     state: ClaimState
     answer: Answer | None = None
@@ -41,24 +41,24 @@
 
 @dataclass(frozen=True)
 class RunKey:
-    """Run the key now: it was claimed by this decision."""
+    """Run the key now: this decision has claimed it."""
 
 
 @dataclass(frozen=True)
 class AwaitKey:
-    """The key is running already: wait for that run's answer."""
+    """The key is already running: wait for the answer of that run."""
 
 
 @dataclass(frozen=True)
 class ReplayAnswer:
-    """The key has run: give the kept answer again."""
+    """The key has run: return the stored answer again."""
 
     answer: Answer
 
 
 @dataclass(frozen=True)
 class RefuseKey:
-    """The key isn't run by this request."""
+    """Refuse the request: it doesn't run the key."""
 
     reason: RefusalReason
     outcome: Outcome
--- a/src/piershore/core/ownership/exceptions.py
+++ b/src/piershore/core/ownership/exceptions.py
@@ -6,12 +6,12 @@
 
 
 class InvalidKeyError(PiershoreError):
-    """The idempotency key carries no mint time."""
+    """The idempotency key has no mint time."""
 
     code = "invalid_idempotency_key"
 
 
 class SlotChangeError(PiershoreError):
-    """The change isn't allowed on this state of the slot table."""
+    """The change isn't allowed in the current state of the slot table."""
 
     code = "slot_change_refused"
--- a/src/piershore/core/ownership/interval.py
+++ b/src/piershore/core/ownership/interval.py
@@ -1,4 +1,4 @@
-"""A stretch of mint times that one incarnation of an agent may run."""
+"""Intervals of mint times whose keys one incarnation of an agent may run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Owner:
-    """One life of an agent process; a restart makes a new incarnation."""
+    """One incarnation of an agent process; a restart creates a new incarnation."""
 
     endpoint: str
     incarnation: str
@@ -26,7 +26,7 @@
     released: bool = False
 
     def holds(self, mint_time: int) -> bool:
-        """Tell whether `mint_time` lies in the interval."""
+        """Return whether `mint_time` lies in the interval."""
         return self.start < mint_time <= self.end
 
     def extended(self, end: int) -> Interval:
@@ -34,13 +34,13 @@
         return replace(self, end=end)
 
     def released_at(self, end: int) -> Interval:
-        """Return the interval cut at `end` and closed for good."""
+        """Return the interval truncated to `end` and released."""
         return replace(self, end=max(self.start, min(self.end, end)), released=True)
 
 
 @dataclass(frozen=True)
 class HeldInterval:
-    """An interval with its place: the layout's start and size, and the slot."""
+    """An interval with its slot, and the start and slot count of the layout."""
 
     layout_start: int
     slot_count: int
@@ -48,5 +48,5 @@
     interval: Interval
 
     def holds(self, mint_time: int, slot: int) -> bool:
-        """Tell whether a key of `mint_time` that hashes to `slot` lies in it."""
+        """Return whether a key of `mint_time` that hashes to `slot` lies in it."""
         return slot == self.slot and self.interval.holds(mint_time)
--- a/src/piershore/core/ownership/key_minter.py
+++ b/src/piershore/core/ownership/key_minter.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of ownership: where a key goes, and minting new ones."""
+"""Minting of keys in a gateway, and lookup of the intervals that contain a key."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 def mint_key(
     reachable: Iterable[HeldInterval], now: int, random: Random
 ) -> MintedKey | None:
-    """Return a new key that one of the reachable intervals' owners may run.
+    """Return a new key that the owner of a reachable interval may run.
 
-    `now` is in Unix milliseconds. It is moved into the owner's interval, so keys
-    run although this clock is wrong, or the platform out and no lease extended.
+    `now` is in Unix milliseconds. It is clamped to the owner's interval, so that keys
+    run even if this clock is wrong, or if the platform is down and leases aren't
+    extended.
     """
     usable = [held for held in reachable if _is_usable(held.interval)]
     if not usable:
@@ -34,7 +35,7 @@
 def intervals_for(
     key: MintedKey, known: Iterable[HeldInterval]
 ) -> Iterator[HeldInterval]:
-    """Yield the known intervals that may run `key`: one, or none."""
+    """Yield the known interval whose owner may run `key`, if there is one."""
     for held in known:
         if held.holds(key.mint_time, key.slot(held.slot_count)):
             yield held
--- a/src/piershore/core/ownership/minted_key.py
+++ b/src/piershore/core/ownership/minted_key.py
@@ -1,4 +1,4 @@
-"""Idempotency keys that carry the time at which they were minted."""
+"""Idempotency keys that contain the time at which they were minted."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
     @classmethod
     def parse(cls, text: str) -> MintedKey:
-        """Read a key; raise `InvalidKeyError` unless it is a UUIDv7."""
+        """Parse a key; raise `InvalidKeyError` unless it is a UUIDv7."""
         try:
             value = UUID(text.strip().strip('"'))
         except ValueError as error:
@@ -38,7 +38,7 @@
 
     @classmethod
     def mint(cls, mint_time: int, random: Random) -> MintedKey:
-        """Make a key for `mint_time` (Unix milliseconds)."""
+        """Create a key for `mint_time` (Unix milliseconds)."""
         number = mint_time << TIMESTAMP_SHIFT
         number |= UUID_VERSION << VERSION_SHIFT
         number |= random.getrandbits(RANDOM_A_BITS) << RANDOM_A_SHIFT
--- a/src/piershore/core/ownership/slot_owner.py
+++ b/src/piershore/core/ownership/slot_owner.py
@@ -1,13 +1,13 @@
-"""One agent's part in the ownership of mint times: claims and lease upkeep.
+"""An agent's ownership of mint times: claims of keys and maintenance of leases.
 
-Safety rests on one comparison: the mint time in the key against the agent's own
-confirmed intervals. No clock takes part in it. `now` (Unix milliseconds) only
-decides how far ahead a lease is extended and when a silent owner is succeeded.
+Safety depends on one comparison: the key's mint time against the agent's own confirmed
+intervals. No clock is involved. `now` (Unix milliseconds) only determines how far ahead
+a lease is extended, and when another agent takes over from a silent owner.
 
-A store that comes back from an older copy has lost who took which mint times since.
-Each era of the store has a record of its own, which begins above all mint times that
-may have been given out before (`begin_era`); what an agent had confirmed before stays
-its own, since nobody else can get it any more.
+A store that is restored from an older copy has lost the intervals taken since then.
+Each era of the store therefore has a record of its own, which starts above all mint
+times that may have been assigned before (`begin_era`). Intervals that an agent had
+confirmed before remain its own, since no other agent can take them any more.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True)
 class OwnershipSettings:
-    """Lengths in milliseconds; `answers_kept` counts answers.
+    """Durations in milliseconds; `answers_kept` is a number of answers.
 
-    `clock_allowance` is how far the agents' clocks may be apart when the platform's
-    store comes back from an older copy: the only moment in which safety asks a clock.
+    `clock_allowance` is how far the agents' clocks may differ when the platform's store
+    is restored from an older copy: the only case in which safety depends on clocks.
     """
 
     lease_length: int = 10_000
@@ -85,7 +85,7 @@
         return self._table
 
     def confirm(self, table: SlotTable, version: int) -> None:
-        """Take over a record that the platform has confirmed; older ones pass."""
+        """Apply a record that the platform has confirmed; ignore older ones."""
         if version <= self._version:
             return
         if era_of(version) > self.era:
@@ -96,11 +96,11 @@
     def begin_era(
         self, slot_count: int, spec_version: int, now: int, found: SlotTable | None
     ) -> SlotTable:
-        """Return the first record of an era of the store.
+        """Return the first record of a new era of the store.
 
         `found` is the record of an earlier era as the store has it. Takeovers and
-        extensions that it has lost reach at most a lease's length beyond what it shows
-        and beyond the clock of whoever made them.
+        extensions that the store has lost reach at most a lease's length beyond this
+        record, or beyond the clock of the agent that made them.
         """
         tables = [table for table in (self._table, found) if table is not None]
         highest = max([now, *(table.current.highest_end for table in tables)])
@@ -108,7 +108,7 @@
         return SlotTable.create(self._service, slot_count, start, spec_version)
 
     def decide(self, key: MintedKey) -> KeyDecision:
-        """Claim `key`, or say why it isn't run (model action `decide`)."""
+        """Claim `key`, or return why it isn't run (model action `decide`)."""
         claim = self._claims.get(key.text)
         if claim is not None:
             return self._decide_repeat(claim)
@@ -122,7 +122,7 @@
         return RunKey()
 
     def finish(self, key: MintedKey, answer: Answer) -> None:
-        """Keep the answer of a key that ran."""
+        """Store the answer of a key that ran."""
         self._claims[key.text] = Claim(ClaimState.DONE, answer)
         self._answers[key.text] = None
         while len(self._answers) > self._settings.answers_kept:
@@ -130,19 +130,20 @@
             self._claims[evicted] = Claim(ClaimState.DONE)
 
     def abandon(self, key: MintedKey) -> None:
-        """Note that it can't be known whether the key ran."""
+        """Record that it is unknown whether the key ran."""
         self._claims[key.text] = Claim(ClaimState.UNKNOWN)
 
     def unclaim(self, key: MintedKey) -> None:
-        """Drop the claim of a key that certainly never left this agent."""
+        """Drop the claim of a key that was certainly never sent by this agent."""
         self._claims.pop(key.text, None)
         self._mint_times.pop(key.text, None)
 
     def forget(self, now: int) -> None:
         """Drop finished claims older than the retention, and refuse their keys.
 
-        While the platform is out the intervals stand still, and so does the mark:
-        gateways go on minting keys at the end of an interval.
+        While the platform is down, intervals aren't extended and gateways keep minting
+        keys at the end of an interval. The age of claims is therefore counted from the
+        highest end of an interval if that is before `now`.
         """
         mark = min(now, self._highest_end()) - self._settings.retention
         if mark <= self._forgotten_up_to:
@@ -158,7 +159,7 @@
         self._earlier = tuple(h for h in self._earlier if h.interval.end > mark)
 
     def leave(self) -> None:
-        """Stop claiming and fix, for good, where this agent's intervals end."""
+        """Stop claiming keys and fix the final ends of this agent's intervals."""
         self._leaving = True
         for held in self._own_intervals():
             place = (held.layout_start, held.slot)
@@ -169,7 +170,7 @@
     def change(self, table: SlotTable, now: int, members: Collection[str]) -> SlotTable:
         """Return `table` with this agent's leases extended, taken or released.
 
-        `members` names the endpoints of the service that are believed live.
+        `members` names the endpoints of the service that are assumed live.
         """
         if self._leaving:
             return self._release_all(table)
@@ -196,7 +197,7 @@
         return table
 
     def intervals(self) -> Iterator[HeldInterval]:
-        """Yield this agent's own intervals, cut where it has released them."""
+        """Yield this agent's own intervals, truncated where it has released them."""
         for held in self._own_intervals():
             mark = self._release_marks.get((held.layout_start, held.slot))
             if mark is not None:
@@ -209,7 +210,7 @@
             yield from self._table.intervals_of(self._owner)
 
     def _intervals_up_to(self, end: int) -> Iterator[HeldInterval]:
-        """Yield what is this agent's own of the mint times up to `end`."""
+        """Yield this agent's own intervals, truncated to the mint times up to `end`."""
         for held in self._own_intervals():
             if held.interval.start < end:
                 cut = held.interval.extended(min(held.interval.end, end))
@@ -230,9 +231,9 @@
     def _refuse_while_leaving(self, key: MintedKey) -> KeyDecision:
         mark = self._release_marks.get(self._place(key), 0)
         if key.mint_time <= mark:
-            # Stays this agent's own after the release, and is never claimed.
+            # The key stays this agent's own after the release and is never claimed.
             return RefuseKey(RefusalReason.LEAVING, Outcome.NOT_RUN)
-        # The successor owns it from now on and may have run it.
+        # The successor owns the key from now on and may have run it.
         return RefuseKey(RefusalReason.LEAVING, Outcome.UNKNOWN)
 
     def _owns(self, key: MintedKey) -> bool:
@@ -266,8 +267,8 @@
             place = (table.current.start, index)
             mark = self._release_marks.get(place)
             if mark is None:
-                # Taken by a write whose answer came after `leave`: nothing of
-                # it was ever claimed here.
+                # Taken by a write whose answer arrived after `leave`: no key of the
+                # interval was ever claimed here.
                 mark = table.current.slots[index].last.start
             table = table.release(index, self._owner, mark)
         return table
@@ -279,8 +280,8 @@
                 yield index
 
     def _lease_end(self, table: SlotTable, last: Interval | None, now: int) -> int:
-        # The first interval of a layout may begin beyond a lease from now: keys from
-        # gateways are minted for it at once.
+        # The first interval of a layout may start later than a lease's length from now.
+        # Gateways mint keys for it immediately.
         begin = now if last is not None else max(now, table.current.start)
         return begin + self._settings.lease_length
 
@@ -307,7 +308,7 @@
         return is_same and owner.incarnation != self._owner.incarnation
 
     def _has_waited(self, last: Interval | None, now: int) -> bool:
-        # The preferred agent has had its time: anyone may step in.
+        # The preferred agent has had enough time: any agent may take the slot.
         return now - (last.end if last else 0) > 2 * self._settings.lease_length
 
     def _is_preferred(self, index: int, members: Collection[str]) -> bool:
--- a/src/piershore/core/ownership/slot_table.py
+++ b/src/piershore/core/ownership/slot_table.py
@@ -1,8 +1,8 @@
-"""The lease record of one service: who may run which mint times.
+"""The lease record of one service: which agents may run which mint times.
 
-The whole record is one object in the platform and changes only by conditional
-update. The model `model/ownership.pml` calls the changes `extend`, `take` and
-`release`; the methods here bear the same names.
+The whole record is one object in the platform and changes only by conditional updates.
+The model `model/ownership.pml` has the actions `extend`, `take` and `release`; the
+methods here have the same names.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 @dataclass(frozen=True)
 class Slot:
-    """Adjoining intervals, oldest first; only the last may still change.
+    """Adjacent intervals, oldest first; only the last may still change.
 
-    `wanted_by` is an agent that asks the present owner to let its lease run out.
+    `wanted_by` is an agent that asks the current owner to let its lease expire.
     """
 
     intervals: tuple[Interval, ...] = ()
@@ -34,15 +34,15 @@
         return self.intervals[-1] if self.intervals else None
 
     def find(self, mint_time: int) -> Interval | None:
-        """Return the interval that holds `mint_time`."""
+        """Return the interval that contains `mint_time`."""
         return next((i for i in self.intervals if i.holds(mint_time)), None)
 
 
 @dataclass(frozen=True)
 class Layout:
-    """A number of slots in force for the mint times after `start`.
+    """The slots in force for the mint times after `start`.
 
-    `spec_version` is the version of the `Service` object that asked for it.
+    `spec_version` is the version of the `Service` object that set their number.
     """
 
     start: int
@@ -51,14 +51,14 @@
 
     @property
     def highest_end(self) -> int:
-        """The highest mint time that any slot of the layout may run."""
+        """The highest mint time that an agent may run in any slot of the layout."""
         ends = [slot.last.end for slot in self.slots if slot.last]
         return max([self.start, *ends])
 
 
 @dataclass(frozen=True)
 class SlotTable:
-    """All slots of one service, with the earlier layouts still remembered."""
+    """All slots of one service, with the last earlier layouts."""
 
     service: str
     layouts: tuple[Layout, ...]
@@ -67,7 +67,7 @@
     def create(
         cls, service: str, slot_count: int, start: int, spec_version: int = 0
     ) -> SlotTable:
-        """Return a table whose slots own nothing up to `start`."""
+        """Return a table for the mint times after `start`, as yet without intervals."""
         return cls(service, (Layout(start, (Slot(),) * slot_count, spec_version),))
 
     @property
@@ -76,14 +76,14 @@
         return self.layouts[-1]
 
     def locate(self, key: MintedKey) -> Interval | None:
-        """Return the interval that may run `key`, if this record knows one."""
+        """Return the interval whose owner may run `key`, if this record has one."""
         layout = self._layout_of(key.mint_time)
         if layout is None:
             return None
         return layout.slots[key.slot(len(layout.slots))].find(key.mint_time)
 
     def intervals_of(self, owner: Owner) -> Iterator[HeldInterval]:
-        """Yield all intervals of `owner` with their places."""
+        """Yield all intervals of `owner` with their layouts and slots."""
         for layout in self.layouts:
             for index, slot in enumerate(layout.slots):
                 for interval in slot.intervals:
@@ -100,7 +100,7 @@
         return self._with_last(index, last.extended(end))
 
     def take(self, index: int, owner: Owner, end: int) -> SlotTable:
-        """Give `owner` the interval that begins where the last one ends."""
+        """Assign `owner` the interval that starts where the last one ends."""
         slot = self.current.slots[index]
         start = slot.last.end if slot.last else self.current.start
         if end <= start:
@@ -109,21 +109,21 @@
         return self._with_slot(index, Slot(intervals[-INTERVALS_KEPT:]))
 
     def release(self, index: int, owner: Owner, end: int) -> SlotTable:
-        """Cut `owner`'s last interval at `end` and close it."""
+        """Truncate `owner`'s last interval to `end` and release it."""
         last = self._last_owned(index, owner)
         return self._with_last(index, last.released_at(end))
 
     def want(self, index: int, owner: Owner) -> SlotTable:
-        """Ask the present owner of a slot to let its lease run out."""
+        """Ask the current owner of a slot to let its lease expire."""
         slot = replace(self.current.slots[index], wanted_by=owner)
         return self._with_slot(index, slot)
 
     def resize(self, slot_count: int, spec_version: int) -> SlotTable:
-        """Start a layout of `slot_count` slots above every mint time given out.
+        """Start a layout of `slot_count` slots above every assigned mint time.
 
-        One update caps all old slots at the same mint time, since the slots of
-        an earlier layout never change again. A box whose view of the service is
-        older than the layout's changes nothing.
+        A single update ends all old slots at the same mint time, since the slots of
+        an earlier layout never change again. The table stays the same if the caller's
+        view of the service isn't newer than that of the layout.
         """
         if spec_version <= self.current.spec_version:
             return self
