--- a/src/piershore/core/routes/__init__.py
+++ b/src/piershore/core/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes of requests to services, by host and path."""
+"""Routing of requests to services by host and path."""
--- a/src/piershore/core/routes/client_limits.py
+++ b/src/piershore/core/routes/client_limits.py
@@ -1,4 +1,4 @@
-"""What callers may send, and how slowly."""
+"""Limits on the size and duration of what callers send."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 class ClientLimits:
     """Limits on a caller's connection; sizes in bytes, times in seconds.
 
-    The defaults hold only until a configuration is known.
+    The defaults apply only until a configuration is known.
     """
 
     header_bytes: int = 16_384
--- a/src/piershore/core/routes/configuration_piece.py
+++ b/src/piershore/core/routes/configuration_piece.py
@@ -1,4 +1,4 @@
-"""Some fields of a configuration, decoded by themselves, and their whole."""
+"""Partial configurations, each decoded separately, and how they are merged."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True)
 class ConfigurationPiece:
-    """What one part of a configuration's document holds; the rest is None or empty.
+    """The fields in one chunk of a configuration; all others are None or empty.
 
-    A version differs from the last in few parts: the pieces of the others are used
-    again.
+    A new version differs from the last in few chunks: the partial configurations that
+    were decoded from the other chunks are reused.
     """
 
     version: int | None = None
@@ -33,7 +33,7 @@
 
 
 def join_pieces(pieces: Iterable[ConfigurationPiece]) -> ServingConfiguration:
-    """Return the configuration; raise ValueError if something it needs is missing."""
+    """Return the configuration; raise ValueError if a required field is missing."""
     pieces = tuple(pieces)
     routes = chain.from_iterable(_told(pieces, "routes"))
     services = chain.from_iterable(_told(pieces, "services"))
@@ -52,9 +52,9 @@
 
 
 def _told(pieces: tuple[ConfigurationPiece, ...], name: str) -> list:
-    """Return a field of all pieces that have it."""
+    """Return the values of a field; raise ValueError if there is none."""
     values = [getattr(piece, name) for piece in pieces]
     told = [value for value in values if value is not None]
     if not told:
-        raise ValueError(f"there is no field {name!r}")
+        raise ValueError(f"the configuration has no field {name!r}")
     return told
--- a/src/piershore/core/routes/current_configuration.py
+++ b/src/piershore/core/routes/current_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process; it never goes back."""
+"""The configuration in force in this process; its version never decreases."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CurrentConfiguration:
-    """Holds the newest version seen in this life of the process."""
+    """Holds the newest version that this process has received since its start."""
 
     def __init__(self) -> None:
         self._configuration: ServingConfiguration | None = None
@@ -29,11 +29,11 @@
         return self._configuration.limits if self._configuration else ClientLimits()
 
     def service(self, name: str) -> ServiceSpec | None:
-        """Return what is in force for a service, or None if that isn't known."""
+        """Return the specification in force of a service, or None if it isn't known."""
         return self._configuration.services.get(name) if self._configuration else None
 
     def offer(self, configuration: ServingConfiguration) -> bool:
-        """Put a version in force if it is newer; tell whether it is."""
+        """Put a version in force if it is newer; return whether it is."""
         if configuration.version <= self.version:
             return False
         self._configuration = configuration
--- a/src/piershore/core/routes/route.py
+++ b/src/piershore/core/routes/route.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where the requests of one host and path prefix go; times in seconds."""
+    """The services for requests of one host and path prefix; times in seconds."""
 
     name: str
     host: str
@@ -41,7 +41,10 @@
     is_resumable: bool = False
 
     def service_for(self, request_id: str) -> str | None:
-        """Return the service that a request goes to; the same for the same id."""
+        """Return the service for a request, always the same for the same id.
+
+        Return None if no service has a positive weight.
+        """
         total = sum(share.weight for share in self.shares)
         if total <= 0:
             return None
--- a/src/piershore/core/routes/service_spec.py
+++ b/src/piershore/core/routes/service_spec.py
@@ -1,4 +1,4 @@
-"""What the configuration tells of a service."""
+"""The configuration of a service."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True)
 class EngineSpec:
-    """A service of model engines.
+    """The model engines of a service.
 
-    `memory_tokens` is one engine's memory; moving a generation to another engine
-    copies `token_bytes` a token over links of `link_bytes_per_second`.
+    `memory_tokens` is the memory of one engine. Moving a generation to another engine
+    copies `token_bytes` for each token over links of `link_bytes_per_second`.
     """
 
     slots: int
@@ -21,17 +21,17 @@
     can_back_up: bool
 
     def copy_seconds(self, tokens: float, *, within_hall: bool) -> float:
-        """Return how long the memory of `tokens` takes on an idle link."""
+        """Return how long copying the memory of `tokens` takes on an idle link."""
         seconds = tokens * self.token_bytes / self.link_bytes_per_second
         return seconds if within_hall else 2 * seconds
 
 
 @dataclass(frozen=True)
 class ServiceSpec:
-    """A service, and what its engines are if it has some.
+    """A service, with its engines if it is a model service.
 
-    An endpoint is cold for `cold_start_seconds` after its start; it bears `cold_rate`
-    requests a second meanwhile, or any number if that is None.
+    An endpoint is cold for `cold_start_seconds` after its start. During that time it
+    can serve `cold_rate` requests a second, or any number if that is None.
     """
 
     name: str
--- a/src/piershore/core/routes/serving_configuration.py
+++ b/src/piershore/core/routes/serving_configuration.py
@@ -1,4 +1,4 @@
-"""One version of the configuration that requests are routed by."""
+"""One version of the configuration for the routing of requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class AccountRef:
-    """The client account that holds a key; its priority goes before the route's."""
+    """The client account that owns a key; its priority overrides the route's."""
 
     name: str
     priority: int | None = None
@@ -30,7 +30,7 @@
     requires_keys: bool = False
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of `host` whose start of the path is the longest."""
+        """Return the route of `host` with the longest matching path prefix, or None."""
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.path_start):
                 return route
@@ -38,7 +38,7 @@
 
 
 def group_routes(routes: Iterable[Route]) -> dict[str, tuple[Route, ...]]:
-    """Group routes by host, those with the longest start of a path first."""
+    """Group routes by host, those with the longest path prefix first."""
     groups: dict[str, list[Route]] = {}
     for route in routes:
         groups.setdefault(route.host, []).append(route)
