--- a/src/piershore/core/documents/__init__.py
+++ b/src/piershore/core/documents/__init__.py
@@ -1,1 +1,1 @@
-"""Documents that gateways read from each other, part by part."""
+"""Documents that gateways read from each other in chunks."""
--- a/src/piershore/core/documents/compression.py
+++ b/src/piershore/core/documents/compression.py
@@ -1,14 +1,14 @@
-"""Compression of what gateways tell each other of documents."""
+"""Compression of the messages in which gateways exchange documents."""
 
 from __future__ import annotations
 
 import zlib
 
 LEVEL = 1
-"""1 MB of 4,000 routes with random names gets 8.5 times smaller in 9 ms of a core, at
-level 6 9.4 times in 17 ms."""
+"""1 MB of 4,000 routes with random names becomes 8.5 times smaller in 9 ms of CPU time;
+at level 6 it becomes 9.4 times smaller in 17 ms."""
 LARGEST_BYTES = 16_777_216
-"""A message that is larger when it is unpacked is faulty: a document has some MB."""
+"""A message that decompresses to more is invalid: a document has a few MB."""
 
 
 def compress(data: bytes) -> bytes:
@@ -17,9 +17,9 @@
 
 
 def decompress(data: bytes) -> bytes:
-    """Return what was compressed; raise `zlib.error` or ValueError if it is faulty."""
+    """Return the decompressed data; raise `zlib.error` or ValueError if invalid."""
     unpacker = zlib.decompressobj()
     unpacked = unpacker.decompress(data, LARGEST_BYTES)
     if not unpacker.eof:
-        raise ValueError("the message is cut short or too large")
+        raise ValueError("the message is truncated or too large")
     return unpacked
--- a/src/piershore/core/documents/document.py
+++ b/src/piershore/core/documents/document.py
@@ -1,4 +1,4 @@
-"""A document in parts that are named by their contents."""
+"""A document in chunks that are identified by a digest of their contents."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True)
 class DocumentPart:
-    """Some entries of a document as JSON; equal parts have the same digest."""
+    """Some entries of a document as JSON; equal chunks have the same digest."""
 
     digest: str
     data: bytes
 
     @classmethod
     def of(cls, data: bytes) -> DocumentPart:
-        """Return the part that holds `data`."""
+        """Return the chunk that contains `data`."""
         return cls(xxh3_64_hexdigest(data), data)
 
 
@@ -32,10 +32,10 @@
 
     @cached_property
     def by_digest(self) -> dict[str, DocumentPart]:
-        """The parts by their digest."""
+        """The chunks by their digest."""
         return {part.digest: part for part in self.parts}
 
     @property
     def digests(self) -> tuple[str, ...]:
-        """The digests of all parts, in their order."""
+        """The digests of all chunks, in order."""
         return tuple(part.digest for part in self.parts)
--- a/src/piershore/core/documents/document_assembly.py
+++ b/src/piershore/core/documents/document_assembly.py
@@ -1,4 +1,4 @@
-"""Parts of a document on their way from peers."""
+"""Assembly of a document from chunks that peers send."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 
 class DocumentAssembly:
-    """Collects the parts of a newer version, whoever they come from.
+    """Collects the chunks of a newer version from any number of peers.
 
-    `own` is the version that the gateway has; parts of it aren't asked for. Parts that
-    came are kept when a read breaks off, or when the peer takes a newer version midway.
+    `own` is the version that the gateway has; its chunks aren't requested. Received
+    chunks are kept when a read breaks off, or when the peer applies a newer version
+    before the document is complete.
     """
 
     def __init__(self) -> None:
         self._received: dict[str, DocumentPart] = {}
 
     def request(self, own: Document | None) -> PartsRequest:
-        """Return what to ask a peer for."""
+        """Return the request to send to a peer."""
         known = own.by_digest if own is not None else {}
         return PartsRequest(frozenset((*known, *self._received)))
 
     def take(self, reply: PartsReply, own: Document | None) -> Document | None:
-        """Take a peer's reply; return the document once it is whole."""
+        """Add the chunks of a peer's reply; return the document once it is complete."""
         known = {**(own.by_digest if own is not None else {}), **self._received}
         known.update((part.digest, part) for part in reply.parts)
         if all(digest in known for digest in reply.digests):
--- a/src/piershore/core/documents/exceptions.py
+++ b/src/piershore/core/documents/exceptions.py
@@ -6,6 +6,6 @@
 
 
 class InvalidPartsError(PiershoreError):
-    """A peer's message about parts of a document can't be read."""
+    """A peer's message about chunks of a document can't be decoded."""
 
     code = "invalid_parts"
--- a/src/piershore/core/documents/parts_reply.py
+++ b/src/piershore/core/documents/parts_reply.py
@@ -1,4 +1,4 @@
-"""What a gateway answers: what the document is made of, and some missing parts."""
+"""A gateway's reply: the digests of its document and some of the missing chunks."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from piershore.core.fleet.store_revision import StoreRevision
 
 REPLY_BYTES = 131_072
-"""Parts in one reply before compression, some 15 KB of routes after it: 0.03 s on a
-link of 5 Mbit/s. A break of the connection loses no more than that."""
+"""Size of the chunks in one reply before compression, some 15 KB of routes after it:
+0.03 s on a link of 5 Mbit/s. A broken connection loses no more than that."""
 LINE_END = b"\n"
-"""JSON has no line end in it."""
+"""Separates the chunks: encoded JSON contains no line end."""
 
 
 @dataclass(frozen=True)
 class PartsReply:
-    """The digests of the whole document, and the first parts that the reader lacks."""
+    """The digests of the whole document, and the first chunks that the reader lacks."""
 
     revision: StoreRevision
     digests: tuple[str, ...]
@@ -31,18 +31,18 @@
 
     @classmethod
     def of(cls, document: Document, request: PartsRequest) -> PartsReply:
-        """Return the reply to a request, in one message of bounded size."""
+        """Return the reply to a request, one message of bounded size."""
         parts = tuple(_first_missing(document, request))
         return cls(document.revision, document.digests, parts)
 
     def encode(self) -> bytes:
-        """Return the message."""
+        """Return the encoded message."""
         head = orjson.dumps([self.revision, self.digests])
         return compress(LINE_END.join([head, *(part.data for part in self.parts)]))
 
     @classmethod
     def decode(cls, data: bytes) -> PartsReply:
-        """Read a message; raise `InvalidPartsError` if it isn't a reply."""
+        """Decode a message; raise `InvalidChunksError` if it isn't a reply."""
         try:
             head, *lines = decompress(data).split(LINE_END)
             revision, digests = orjson.loads(head)
@@ -52,7 +52,7 @@
                 tuple(map(DocumentPart.of, lines)),
             )
         except (ValueError, TypeError, zlib.error) as error:
-            raise InvalidPartsError(f"not a reply with parts: {error!r}") from error
+            raise InvalidPartsError(f"not a reply with chunks: {error!r}") from error
 
 
 def _first_missing(document: Document, request: PartsRequest) -> Iterator[DocumentPart]:
--- a/src/piershore/core/documents/splitting.py
+++ b/src/piershore/core/documents/splitting.py
@@ -1,4 +1,4 @@
-"""Splitting of a document's fields into parts, and joining them again."""
+"""Splitting of a document's fields into chunks, and joining the chunks again."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from piershore.core.documents.document import DocumentPart
 
 ENTRIES_A_PART = 16
-"""Mean number of entries of a list in one part: 4 KB of routes. A digest is 1 in 200 of
-its part then, and a change of one entry sends some 4 KB again."""
+"""Mean number of list entries in one chunk: 4 KB of routes. A digest then has 1 in 200
+of its chunk's bytes, and a change of one entry sends some 4 KB again."""
 MOST_ENTRIES = 8 * ENTRIES_A_PART
 
 
 def split(fields: Mapping[str, object]) -> Iterator[DocumentPart]:
-    """Yield the parts of a document; a list may be split, any other field is one part.
+    """Yield the chunks of a document; only lists are split into several chunks.
 
-    Where a list is split depends on the entries there, not on their place: after an
-    entry was added all parts but its own are the same.
+    A list is split by the contents of its entries and not by their positions, so an
+    added entry changes no chunk but its own.
     """
     for name, value in fields.items():
         if not isinstance(value, list):
@@ -31,7 +31,7 @@
 
 
 def join(parts: Iterable[DocumentPart]) -> dict[str, object]:
-    """Return the fields of a document; raise ValueError if a part is no JSON object."""
+    """Return the fields of a document; raise ValueError if a chunk is not JSON."""
     fields: dict[str, object] = {}
     for part in parts:
         for name, value in orjson.loads(part.data).items():
@@ -43,7 +43,7 @@
 
 
 def _groups(entries: list[object]) -> Iterator[list[bytes]]:
-    """Yield the encoded entries in groups; an empty list is one empty group."""
+    """Yield groups of encoded entries; an empty list yields one empty group."""
     group: list[bytes] = []
     for entry in entries:
         data = orjson.dumps(entry)
