--- a/src/piershore/core/streams/__init__.py
+++ b/src/piershore/core/streams/__init__.py
@@ -1,1 +1,1 @@
-"""Token streams: order, resumption and readers."""
+"""Token streams: order, resumption, readers and stalls."""
--- a/src/piershore/core/streams/delivered_events.py
+++ b/src/piershore/core/streams/delivered_events.py
@@ -1,4 +1,4 @@
-"""Which events of a stream the caller has, over several endpoints."""
+"""The events of a stream that were delivered to the caller, across endpoints."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class MissingEventError(Exception):
-    """The next event is not the one that follows the last delivered."""
+    """The next event doesn't follow the last one that was delivered."""
 
 
 class DeliveredEvents:
-    """Lets each event through once and in order."""
+    """Delivers each event once and in order."""
 
     def __init__(self) -> None:
         self._last: int | None = None
@@ -20,16 +20,16 @@
 
     @property
     def last_number(self) -> int | None:
-        """Number of the last event that was let through."""
+        """Number of the last delivered event."""
         return self._last
 
     @property
     def count(self) -> int:
-        """Events let through so far."""
+        """Events delivered so far."""
         return self._count
 
     def take(self, events: Iterable[StreamEvent]) -> Iterator[StreamEvent]:
-        """Yield the events that are new; raise `MissingEventError` at a gap."""
+        """Yield the events not delivered before; raise `MissingEventError` at a gap."""
         for event in events:
             if event.number is not None and not self._is_next(event.number):
                 continue
@@ -41,6 +41,6 @@
             if number <= self._last:
                 return False
             if number != self._last + 1:
-                raise MissingEventError(f"{number} follows {self._last}")
+                raise MissingEventError(f"event {number} follows event {self._last}")
         self._last = number
         return True
--- a/src/piershore/core/streams/event_id.py
+++ b/src/piershore/core/streams/event_id.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class EventId:
-    """Where a stream stands: `next_index` is the first token not yet shown."""
+    """A position in a stream: `next_index` is the first token not yet delivered."""
 
     endpoint: str
     incarnation: str
@@ -29,10 +29,10 @@
 
     @classmethod
     def decode(cls, text: str) -> EventId:
-        """Read a `Last-Event-ID`; raise `InvalidEventIdError` if it is malformed."""
+        """Parse a `Last-Event-ID`; raise `InvalidEventIdError` if it is malformed."""
         parts = text.split(SEPARATOR)
         if len(parts) != PARTS or not all(parts):
-            raise InvalidEventIdError("the event id has not four parts")
+            raise InvalidEventIdError("the event id doesn't have four parts")
         index = parts[-1]
         if not (index.isascii() and index.isdigit()) or len(index) > 12:
             raise InvalidEventIdError("the event id has no token index")
--- a/src/piershore/core/streams/event_splitter.py
+++ b/src/piershore/core/streams/event_splitter.py
@@ -1,4 +1,4 @@
-"""Server-sent events as they are cut out of a stream of bytes."""
+"""Splitting of a stream of bytes into server-sent events."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One whole event as it was sent, and its number if it has one."""
+    """One complete event as it was sent, and its number if it has one."""
 
     data: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Cuts whole events out of the parts of a stream."""
+    """Splits the chunks of a stream into complete events."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def rest(self) -> bytes:
-        """What came after the last whole event."""
+        """The bytes after the last complete event."""
         return self._rest
 
     def feed(self, part: bytes) -> Iterator[StreamEvent]:
-        """Yield the events that are whole now."""
+        """Add received bytes and yield the events that are complete now."""
         data = self._rest + part
         start = 0
         for end in EVENT_END.finditer(data):
--- a/src/piershore/core/streams/exceptions.py
+++ b/src/piershore/core/streams/exceptions.py
@@ -6,18 +6,18 @@
 
 
 class TokenGapError(PiershoreError):
-    """The engine skipped tokens, so the stream can't go on in order."""
+    """The engine skipped tokens, so the stream can't continue in order."""
 
     code = "token_gap"
 
 
 class WindowPassedError(PiershoreError):
-    """The tokens asked for aren't kept any more."""
+    """The requested tokens are no longer kept."""
 
     code = "resume_window_passed"
 
 
 class InvalidEventIdError(PiershoreError):
-    """The event id wasn't made by this system."""
+    """The event id wasn't created by this system."""
 
     code = "invalid_event_id"
--- a/src/piershore/core/streams/generation.py
+++ b/src/piershore/core/streams/generation.py
@@ -1,7 +1,7 @@
 """One generation at the agent: its tokens, its reader and its end.
 
-The model `model/stream.pml` calls the steps `attach`, `append`, `send`,
-`acknowledge` and `end`; the methods here bear the same names.
+The model `model/stream.pml` has the steps `attach`, `append`, `send`, `acknowledge`
+and `end`; the methods here have the same names.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True)
 class Ending:
-    """The end of a generation: `reason` is None when it is whole."""
+    """The end of a generation; `reason` is None if it is complete."""
 
     reason: RefusalReason | None = None
 
 
 @dataclass(frozen=True)
 class Reader:
-    """One attachment of a gateway; a newer epoch cuts off the older."""
+    """One attachment of a gateway; a newer epoch supersedes an older one."""
 
     link: int
     request: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class Segment:
-    """Tokens on their way to the reader, the first at `first_index`."""
+    """Tokens to be sent to the reader, the first at `first_index`."""
 
     reader: Reader
     first_index: int
@@ -58,17 +58,17 @@
 
     @property
     def identity(self) -> str:
-        """Unguessable name of the generation."""
+        """Unguessable identifier of the generation."""
         return self._identity
 
     @property
     def account(self) -> str:
-        """Client account that may read it."""
+        """Client account that may read the generation."""
         return self._account
 
     @property
     def next_index(self) -> int:
-        """Index of the token that the engine is to send next."""
+        """Index of the next token expected from the engine."""
         return self._buffer.next_index
 
     @property
@@ -87,7 +87,7 @@
         return self._last_token_at
 
     def attach(self, link: int, request: int, index: int) -> Reader | None:
-        """Let a reader read from `index`; return the reader that it cuts off.
+        """Let a reader read from `index`; return the reader that it supersedes.
 
         Raise `WindowPassedError`, and change nothing, if `index` isn't kept.
         """
@@ -101,25 +101,25 @@
         return superseded
 
     def detach(self, link: int, request: int, now: float) -> None:
-        """Note that the reader of this link and request is gone."""
+        """Detach the reader of this link and request, if it is still attached."""
         if self._is_current(link, request):
             self._reader = None
             self._reader_left_at = now
 
     def append(self, first_index: int, tokens: tuple[str, ...], now: float) -> int:
-        """Take tokens from the engine; return how many were new."""
+        """Append tokens from the engine; return how many were new."""
         new = self._buffer.append(first_index, tokens)
         if new:
             self._last_token_at = now
         return new
 
     def acknowledge(self, link: int, request: int, index: int) -> None:
-        """Note that the reader has passed on all tokens before `index`."""
+        """Record that the reader has forwarded all tokens before `index`."""
         if self._is_current(link, request):
             self._acknowledged = max(self._acknowledged, min(index, self._sent))
 
     def send(self) -> Segment | None:
-        """Return the tokens that the reader may get now, if any."""
+        """Return the tokens that the window allows to send now, if any."""
         if self._reader is None:
             return None
         room = self._acknowledged + WINDOW_TOKENS - self._sent
@@ -131,17 +131,17 @@
         return segment
 
     def end(self, ending: Ending) -> None:
-        """Note the end; the first one said stays."""
+        """Record the end; only the first one counts."""
         if self._ending is None:
             self._ending = ending
 
     def is_drained(self) -> bool:
-        """Tell whether the reader has been sent all there will ever be."""
+        """Return whether the generation has ended and the reader has all tokens."""
         ended = self._ending is not None
         return ended and self._reader is not None and self._sent == self.next_index
 
     def is_abandoned(self, now: float, grace: float) -> bool:
-        """Tell whether no reader has been attached for `grace` seconds."""
+        """Return whether no reader has been attached for `grace` seconds."""
         left_at = self._reader_left_at
         return left_at is not None and now - left_at > grace
 
--- a/src/piershore/core/streams/silence.py
+++ b/src/piershore/core/streams/silence.py
@@ -1,8 +1,8 @@
-"""What to do with a stream whose endpoint has fallen silent.
+"""What to do with a stream whose endpoint sends no events any more.
 
-A pause far above the endpoint's own pace has several causes that look alike from the
-stream: the engine waits for memory, its events get lost on the way, or it is gone
-without a word. Its report tells them apart.
+A gap far above the endpoint's own pace has several causes, which the stream alone can't
+distinguish: the engine waits for memory, its events are lost in transit, or it has
+ended without notice. The endpoint's report, which a probe requests, distinguishes them.
 """
 
 from __future__ import annotations
@@ -12,17 +12,19 @@
 from enum import StrEnum
 
 UNANSWERED_BEFORE_GIVEN_UP = 2
-"""Questions in a row without an answer; one may be lost with a packet, and a stream
-that goes on elsewhere too early runs at two endpoints."""
+"""Consecutive probes without an answer after which an endpoint is given up. One may be
+lost with a packet, and a stream that resumes elsewhere too early runs at two endpoints.
+"""
 EVENTS_ON_THE_WAY = 2
-"""Events that a report may be ahead of what came: it is made apart from the stream."""
+"""Events by which a report may be ahead of the stream: they are sent separately."""
 
 
 @dataclass(frozen=True)
 class EndpointReport:
-    """What an endpoint says of itself; `made_events` of its generations by request.
+    """An endpoint's report on itself, with the number of generated events by request.
 
-    `born` is when the incarnation that tells began, in milliseconds; 0 if unknown.
+    `incarnation_started_ms` is the start of the incarnation that reports, in Unix
+    milliseconds; 0 if unknown.
     """
 
     is_leaving: bool
@@ -30,20 +32,20 @@
     born: int = 0
 
     def is_of_earlier(self, born: int) -> bool:
-        """Tell whether it is from before the incarnation that began at `born`."""
+        """Return whether an incarnation before the given one made the report."""
         return 0 < self.born < born
 
     def is_of_later(self, born: int) -> bool:
-        """Tell whether the incarnation that began at `born` has ended since."""
+        """Return whether an incarnation after the given one made the report."""
         return 0 < born < self.born
 
 
 class SilenceVerdict(StrEnum):
-    """What is done with the stream.
+    """What to do with the stream.
 
-    `WAIT`: the endpoint works, or there is nowhere else to go on. `MOVE`: its events
-    don't come here, so the generation is moved. `GIVE_UP`: nobody is there, or the
-    endpoint has started anew and knows nothing of it.
+    `WAIT`: the endpoint works, or the stream can't be resumed elsewhere. `MOVE`: its
+    events don't arrive, so the generation is moved. `GIVE_UP`: the endpoint doesn't
+    answer, or it has restarted without the generation.
     """
 
     WAIT = "wait"
@@ -53,9 +55,10 @@
 
 @dataclass(frozen=True)
 class SilentStream:
-    """A stream that waits; `last_event` is the number of the last that came.
+    """A stream that waits for events; `last_event` is the last number received.
 
-    `born` is when the incarnation of its endpoint began, in milliseconds.
+    `incarnation_started_ms` is the start of its endpoint's incarnation, in Unix
+    milliseconds; 0 if unknown.
     """
 
     request: str
@@ -67,7 +70,7 @@
 def judge_silence(
     stream: SilentStream, report: EndpointReport | None, unanswered: int
 ) -> SilenceVerdict:
-    """Return what to do; `unanswered` counts the questions in a row without one."""
+    """Return what to do; `unanswered` counts consecutive probes without a report."""
     if report is None:
         is_given_up = unanswered >= UNANSWERED_BEFORE_GIVEN_UP
         if is_given_up and stream.can_go_on_elsewhere:
--- a/src/piershore/core/streams/stall_detector.py
+++ b/src/piershore/core/streams/stall_detector.py
@@ -1,4 +1,4 @@
-"""Stalls measured against an engine's own recent pace."""
+"""Detection of stalls relative to an engine's own recent pace."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StallDetector:
-    """Keeps an engine's usual time between tokens and finds gaps far above it."""
+    """Averages an engine's time between tokens and detects gaps far above it."""
 
     def __init__(self) -> None:
         self._pace: float | None = None
@@ -19,7 +19,7 @@
         return max(SHORTEST_STALL_SECONDS, STALL_FACTOR * (self._pace or 0.0))
 
     def observe(self, gap: float) -> float:
-        """Add a gap between tokens; return the seconds of it that were a stall."""
+        """Record a gap between tokens; return its seconds if it was a stall, else 0."""
         stalled = gap > self.threshold
         if not stalled:
             pace = gap if self._pace is None else self._pace
--- a/src/piershore/core/streams/token_buffer.py
+++ b/src/piershore/core/streams/token_buffer.py
@@ -1,4 +1,4 @@
-"""The tokens of one generation that a reader may still ask for."""
+"""The tokens of one generation that a reader may still request."""
 
 from __future__ import annotations
 
@@ -18,11 +18,14 @@
 
     @property
     def next_index(self) -> int:
-        """Index of the token that the engine is to send next."""
+        """Index of the next token expected from the engine."""
         return self._first + len(self._tokens)
 
     def append(self, first_index: int, tokens: tuple[str, ...]) -> int:
-        """Add tokens, skip those already held, return how many were new."""
+        """Append the tokens that are new and return their number.
+
+        Raise `TokenGapError` if tokens are missing before them.
+        """
         expected = self.next_index
         if first_index > expected:
             raise TokenGapError(f"token {expected} is missing before {first_index}")
@@ -34,7 +37,10 @@
         return len(new)
 
     def read(self, index: int, limit: int) -> tuple[str, ...]:
-        """Return up to `limit` tokens from `index` on."""
+        """Return up to `limit` tokens from `index` on.
+
+        Raise `WindowPassedError` if `index` isn't kept.
+        """
         if index < self._first or index > self.next_index:
             raise WindowPassedError(f"token {index} isn't kept")
         offset = index - self._first
