--- a/src/piershore/core/__init__.py
+++ b/src/piershore/core/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: events, the time and a random source in, actions out; no I/O."""
+"""Decision logic without I/O: events, time and a random source in, actions out."""
--- a/src/piershore/core/hashing.py
+++ b/src/piershore/core/hashing.py
@@ -1,4 +1,4 @@
-"""The hash on which all processes agree."""
+"""A hash function that gives the same result in all processes."""
 
 from __future__ import annotations
 
--- a/src/piershore/core/mechanism.py
+++ b/src/piershore/core/mechanism.py
@@ -1,4 +1,4 @@
-"""Mechanisms of a gateway that an experiment may switch off, one by one."""
+"""Mechanisms of a gateway that experiments can disable individually."""
 
 from __future__ import annotations
 
@@ -6,43 +6,43 @@
 
 
 class Mechanism(StrEnum):
-    """What each one does; all are on unless the process is told otherwise.
+    """A mechanism and what it does; all are enabled by default.
 
-    Only for experiments: what a promise needs has no switch.
+    Only for experiments: mechanisms that a guarantee depends on can't be disabled.
     """
 
     MOVES = "moves"
-    """Generations leave engines that leave or lose their events."""
+    """Generations are moved away from engines that leave or whose events are lost."""
     FIRST_COPIES = "first_copies"
-    """A generation goes on while its memory is copied, and stops only then."""
+    """A generation continues while its memory is copied, and stops only after that."""
     BACKUPS = "backups"
-    """Memory that a notice's time is too short for is copied as it grows."""
+    """Memory that can't be copied within a leave notice is copied while it grows."""
     SILENCE_QUESTIONS = "silence_questions"
-    """Engines whose streams fall silent are asked, and judged by the answer."""
+    """Engines whose streams become silent are probed, and evaluated by the answer."""
     OUTAGE_QUESTIONS = "outage_questions"
-    """Engines are asked whether they leave while nobody reads the store."""
+    """Engines are probed for whether they leave while no gateway can read the store."""
     EJECTION = "ejection"
-    """Endpoints that fail several times in a row are left out for a while."""
+    """Endpoints with several consecutive failures are ejected for a while."""
     SHARED_FAILURES = "shared_failures"
-    """Endpoints at which several gateways see failures are left out by all."""
+    """Endpoints at which several gateways observe failures are avoided by all."""
     FAILURE_COST = "failure_cost"
-    """Endpoints cost more by the share of their failures."""
+    """The cost of endpoints increases with their share of failures."""
     ADMISSION = "admission"
-    """Long generations are refused at once when no engine has memory."""
+    """Long generations are refused immediately when no engine has free memory."""
     WAITING = "waiting"
-    """Long generations wait a moment for memory before they are refused."""
+    """Long generations wait briefly for free memory before they are refused."""
     PEER_LOADS = "peer_loads"
-    """Choices count the work of other gateways."""
+    """The choice of endpoints includes the load from other gateways."""
     SUBSETS = "subsets"
-    """Generations are placed at a few endpoints, and their starts told to those
-    gateways that share these."""
+    """Generations are placed at a few endpoints, and their starts sent to the gateways
+    that share these endpoints."""
     FEW_WATCHERS = "few_watchers"
     """In a larger fleet only some gateways watch the store."""
     HALL_PREFERENCE = "hall_preference"
-    """Among equals an endpoint of the own data hall is chosen."""
+    """Among equal endpoints, one in the gateway's own data hall is chosen."""
     STALL_COST = "stall_cost"
-    """Endpoints cost more in halls whose streams stall."""
+    """Endpoints cost more in data halls whose streams stall."""
     SECOND_RUNS = "second_runs"
-    """What may run again or has not run is sent to another endpoint."""
+    """Requests that may run again or haven't run are sent to another endpoint."""
     PATIENCE = "patience"
-    """A repeatable call doesn't wait its whole time for the first endpoint."""
+    """A repeatable call doesn't spend its whole timeout on the first endpoint."""
--- a/src/piershore/core/outcome.py
+++ b/src/piershore/core/outcome.py
@@ -1,4 +1,4 @@
-"""What is known of a request's execution when the caller gets its answer."""
+"""What is known about a request's execution when its caller gets the answer."""
 
 from __future__ import annotations
 
--- a/src/piershore/core/ports.py
+++ b/src/piershore/core/ports.py
@@ -1,4 +1,4 @@
-"""Interfaces to the outside systems; adapters and stand-ins pass their contracts."""
+"""Interfaces to external systems; adapters and stand-ins pass their contract tests."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class BoxRole(StrEnum):
-    """Which process of the system a box runs."""
+    """The process that a box runs."""
 
     GATEWAY = "gateway"
     AGENT = "agent"
 
 
 class BoxState(StrEnum):
-    """What the platform says of a box, with a lag."""
+    """State of a box as the platform reports it, with a delay."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class GenerationRequest:
-    """What the engine is asked to generate."""
+    """A generation that is requested from the engine."""
 
     identity: str
     prompt: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class EngineLoad:
-    """The engine's own report, some time late."""
+    """The engine's own load report, which is slightly stale."""
 
     capacity_tokens: int
     used_tokens: int
@@ -70,9 +70,9 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A prompt prefix came into the engine's cache, or left it.
+    """A prompt prefix was added to the engine's cache or evicted from it.
 
-    Events come late; a number that is missing was lost.
+    Events arrive with a delay; a missing number means that an event was lost.
     """
 
     number: int
@@ -83,14 +83,14 @@
 class PlatformStore(ABC):
     """The platform's object API: versions, conditional updates and watches.
 
-    The store may come back from an older copy of itself, in a later era. Versions and
-    revisions hold their era (`StoreRevision`), so that their order stays true.
+    The store may be restored from an older copy of itself, in a later era. Versions and
+    revisions contain their era (`StoreRevision`), so that their order stays correct.
     """
 
     @property
     @abstractmethod
     def era(self) -> int:
-        """The store's era, as far as its answers have told."""
+        """The store's era according to its answers so far."""
 
     @abstractmethod
     async def get(self, name: ObjectName) -> StoredObject | None:
@@ -107,14 +107,15 @@
         """Write if the object's version is still `version` (0: must not exist).
 
         `value` None deletes. Raise `StaleVersionError` with the current object,
-        or `WriteUncertainError` when it can't be known whether it took effect.
+        or `WriteUncertainError` if it is unknown whether the write took effect.
         """
 
     @abstractmethod
     async def restore(self, lost: StoredObject, version: int, write_id: str) -> None:
-        """Write again what the store has lost, as the version that it was accepted as.
+        """Write a lost object again, with the version under which it was accepted.
 
-        `version` is what the store has now (0: nothing). Raise as `put` does.
+        `version` is the one that the store has now (0: none). Raise the same errors
+        as `put`.
         """
 
     @abstractmethod
@@ -126,7 +127,7 @@
 
 
 class BoxList(ABC):
-    """The platform's lagging list of live and leaving boxes."""
+    """The platform's list of live and leaving boxes, which lags behind."""
 
     @abstractmethod
     async def boxes(self) -> tuple[Box, ...]:
@@ -138,9 +139,9 @@
 
     @abstractmethod
     def generate(self, request: GenerationRequest) -> AsyncIterator[EngineTokens]:
-        """Start a generation and stream its tokens; end when it is whole.
+        """Start a generation and stream its tokens until it is complete.
 
-        Raise `EngineRestingError` if the engine has turned it away and asks for rest.
+        Raise `EngineRestingError` if the engine refuses it and requests a backoff.
         """
 
     @abstractmethod
@@ -168,7 +169,7 @@
         """Execute one call.
 
         Raise `CallNotSentError` if nothing reached the service, and
-        `CallUncertainError` if it can't be known whether it executed.
+        `CallUncertainError` if it is unknown whether the call was executed.
         """
 
 
--- a/src/piershore/core/refusal_reason.py
+++ b/src/piershore/core/refusal_reason.py
@@ -68,4 +68,4 @@
         RefusalReason.AGENT_LOST,
     }
 )
-"""Reasons after which a gateway may try another endpoint, if nothing ran."""
+"""Reasons after which a gateway may try another endpoint if nothing was executed."""
--- a/src/piershore/core/remembering.py
+++ b/src/piershore/core/remembering.py
@@ -1,4 +1,4 @@
-"""Bounded memories, of which the oldest entry goes first."""
+"""Bounded mappings that evict their oldest entries."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def remember(kept: dict[str, Kept], key: str, value: Kept, most: int) -> None:
-    """Note something as the newest of the `most` entries that are kept."""
+    """Store an entry as the newest and evict the oldest beyond the upper bound."""
     kept.pop(key, None)
     kept[key] = value
     while len(kept) > most:
--- a/src/piershore/core/standstill.py
+++ b/src/piershore/core/standstill.py
@@ -1,14 +1,15 @@
-"""Whether this process itself stood still: paused, starved, or its whole box was.
+"""Detection of pauses of this process: it was stopped or starved, or its box was.
 
-What waited meanwhile was not silent for that time: its messages may lie unread.
+Peers weren't necessarily silent during a pause: their messages may still be unread.
 """
 
 from __future__ import annotations
 
 STOOD_STILL_SECONDS = 0.15
-"""A wait that ends so late shows it; timers of a busy process are some ms late."""
+"""A wait that ends this late shows a pause. Timers of a busy process are a few
+milliseconds late."""
 
 
 def stood_still(due: float, now: float) -> bool:
-    """Tell whether a wait that was due at `due` ended much later, at `now`."""
+    """Return whether a wait that was due at `due` ended much later, at `now`."""
     return now - due > STOOD_STILL_SECONDS
