--- a/src/piershore/__init__.py
+++ b/src/piershore/__init__.py
@@ -1,1 +1,1 @@
-"""Serving system for generations of unknown length on crowded engines."""
+"""Serving system for generations of unknown length on overloaded engines."""
--- a/src/piershore/__main__.py
+++ b/src/piershore/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m piershore`."""
+"""Entry point of `python -m piershore`."""
 
 from __future__ import annotations
 
--- a/src/piershore/boot_clock.py
+++ b/src/piershore/boot_clock.py
@@ -1,4 +1,4 @@
-"""The clock of all event loops: it goes on while the box is suspended."""
+"""The clock of all event loops, which continues while the box is suspended."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 import trio
 
 BOOT_TIME = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""The steady clock, where a system has no other."""
+"""The monotonic clock on systems without `CLOCK_BOOTTIME`."""
 
 
 def read_boot_time() -> float:
-    """Return the seconds since the box was started, suspended or not."""
+    """Return the seconds since the box was booted, including suspensions."""
     return time.clock_gettime(BOOT_TIME)
 
 
 class BootClock(trio.abc.Clock):
-    """Counts the time in which the box was suspended, as the rest of the world does.
+    """A clock that includes the time during which the box was suspended.
 
-    The steady clock doesn't: a process that wakes would go on for seconds with callers
-    who have left, answers that are overdue and views of the fleet that are old, and
-    take all of them for fresh.
+    The monotonic clock doesn't. After a suspension, a process would continue for
+    seconds with callers that have left, overdue answers and stale views of the fleet,
+    as if all of them were current.
     """
 
     def __init__(self, read: Callable[[], float] = read_boot_time) -> None:
         self._read = read
 
     def start_clock(self) -> None:
-        """Do nothing: the clock always goes."""
+        """Do nothing: the clock always runs."""
 
     def current_time(self) -> float:
-        """Return the present time in seconds."""
+        """Return the current time in seconds."""
         return self._read()
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
--- a/src/piershore/early_signals.py
+++ b/src/piershore/early_signals.py
@@ -1,4 +1,4 @@
-"""Signals while a process starts, before its event loop takes them."""
+"""Signals during the start of a process, before its event loop handles them."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 def ignore_early_hangup() -> None:
-    """Let a change of settings that is told during the start pass.
+    """Ignore SIGHUP, which announces changed settings, during the start.
 
-    The settings are read later in the start; the default would end the process.
+    The settings are read later in the start; the default action would end the process.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/src/piershore/errors.py
+++ b/src/piershore/errors.py
@@ -1,4 +1,4 @@
-"""Base of all errors that carry a code."""
+"""Base class of all errors with a code."""
 
 from __future__ import annotations
 
--- a/src/piershore/stop_signals.py
+++ b/src/piershore/stop_signals.py
@@ -1,4 +1,4 @@
-"""Signals that tell a process to stop, taken until it has ended."""
+"""Signals that stop a process, handled until it has ended."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @contextmanager
 def open_stop_receiver(*others: signal.Signals) -> Iterator[AsyncIterator[int]]:
-    """Receive the signals to stop, and `others`.
+    """Receive the stop signals, and `others`.
 
-    Once it closes, later signals to stop are ignored: the default would end the process
-    while it finishes what is under way, or while the interpreter ends.
+    After it closes, further stop signals are ignored: the default action would end the
+    process while it finishes its current work, or while the interpreter shuts down.
     """
     early: list[int] = []
     for number in STOP_SIGNALS:
@@ -32,7 +32,7 @@
 
 
 async def wait_for_stop() -> None:
-    """Return when the process is told to stop."""
+    """Return when the process receives a stop signal."""
     with open_stop_receiver() as received:
         async for _ in received:
             return
--- a/src/piershore/turns.py
+++ b/src/piershore/turns.py
@@ -1,4 +1,4 @@
-"""Long work in an event loop, with turns for other tasks in between."""
+"""Long iterations in an event loop, with checkpoints that let other tasks run."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 import trio
 
 TURN_SECONDS = 0.002
-"""Work between two turns: requests of the gateway wait no longer for it. A whole
-configuration of 4,000 routes takes some 50 ms of a core."""
+"""Work between two checkpoints: requests of the gateway wait no longer for it. A whole
+configuration of 4,000 routes takes some 50 ms of CPU time."""
 
 Item = TypeVar("Item")
 
 
 async def in_turns(items: Iterable[Item]) -> AsyncIterator[Item]:
-    """Yield items that take time to make or to use; other tasks run now and then."""
+    """Yield items that take time to create or use; run other tasks in between."""
     turn_ends = trio.current_time() + TURN_SECONDS
     for item in items:
         yield item
