--- a/features/core.feature
+++ b/features/core.feature
@@ -1,7 +1,7 @@
-Feature: The core's decisions, in virtual time and with seeds
+Feature: Decision logic of the core, in virtual time and with seeds
 
-  Scenario Outline: Whatever comes from outside, <parser> reads it or refuses it with its code
-    Then <parser> never fails in another way
+  Scenario Outline: Invalid input for <parser> is refused with a code
+    Then parsing <parser> raises only errors with a code
 
     Examples:
       | parser              |
@@ -12,7 +12,7 @@
       | a caller's body     |
 
   @at_most_once
-  Scenario Outline: Agents, stale reads, lost answers and restarts in any order, <slots> slots
+  Scenario Outline: No key runs twice with stale reads, lost answers and restarts, <slots> slots
     Then no key runs twice in 200 random histories with <slots> slots
 
     Examples:
@@ -20,11 +20,11 @@
       | 1     |
       | 3     |
 
-  # The record of the copy was gone on from: an agent took mint times that another had
-  # taken and run since.
+  # Agents continued with the record of the older copy, so an agent took mint times that
+  # another agent had taken and run since that copy.
   @at_most_once
-  Scenario Outline: The same, and the store comes back from older copies, <slots> slots
-    Then no key runs twice in 200 histories with <slots> slots and store returns
+  Scenario Outline: No key runs twice when the store is restored from older copies, <slots> slots
+    Then no key runs twice in 200 histories with <slots> slots and a restored store
 
     Examples:
       | slots |
@@ -32,23 +32,23 @@
       | 3     |
 
   @at_most_once
-  Scenario: Slots come to be shared among agents, although one came first
-    Then of 3 agents, of which one came first, each owns some of 16 slots in the end
-    And when one of them falls silent the others own all slots in the end
+  Scenario: Agents share the slots although one agent started first
+    Then each of 3 agents, of which one started first, owns some of 16 slots in the end
+    And after one of them becomes silent the others own all slots in the end
 
   @at_most_once
-  Scenario: An agent whose slots were all taken wants some of them back
-    Given an agent that let its leases run out for another, which took all slots
-    When it makes a round of its upkeep
-    Then it has read the record again, and wants the slots that it is preferred for
+  Scenario: An agent whose slots were all taken requests some of them again
+    Given an agent that let its leases expire for another one, which took all slots
+    When it maintains its leases once
+    Then it has read the record again, and requests the slots for which it is preferred
 
   @tokens_once_in_order
-  Scenario: Engine, readers and acknowledgements in any order
-    Then each reader of 300 random histories sees tokens once and in order
+  Scenario: Readers get tokens once and in order for any order of events
+    Then each reader of 300 random histories gets tokens once and in order
 
   @accepted_config_in_force
-  Scenario: Changes, snapshots and repeats in any order
-    Then no view of 300 random histories goes back, and all agree in the end
+  Scenario: Views converge for any order of changes, snapshots and repeats
+    Then no view of 300 random histories returns to an older version, and all agree in the end
 
   Scenario Outline: Admission under <policy>, <situation>
     Given an engine queue with the policy <policy>
@@ -92,5 +92,5 @@
     And 6 gateways with 1200 first tries together allow no more than 140 retries
 
   @planned_stop_cuts_nothing
-  Scenario: A generation ends in the moment in which its agent stops
-    Then its reader is still told all tokens and the end
+  Scenario: A generation ends at the moment at which its agent stops
+    Then its reader still gets all tokens and the end
--- a/features/steps/core_configuration_steps.py
+++ b/features/steps/core_configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps for views of the configuration, by the core alone."""
+"""Steps for views of the configuration, using only the core."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 )
 
 
-@then("no view of {count:d} random histories goes back, and all agree in the end")
+@then(
+    "no view of {count:d} random histories returns to an older version, and all agree in"
+    " the end"
+)
 def check_views(context, count):
     names = [ObjectName(ObjectKind.SERVICE, name) for name in "abc"]
     for seed in range(count):
@@ -37,7 +40,9 @@
             for name in names:
                 stored = view.stored(name.kind, name.name)
                 version = stored.version if stored else 0
-                assert version >= highest.get(name, 0), "a view went back"
+                assert version >= highest.get(name, 0), (
+                    "a view returned to an older version"
+                )
                 highest[name] = version
         view.apply_snapshot(snapshot_at(history, 19))
         live = {stored.name: stored.version for stored in view.snapshot().objects}
--- a/features/steps/core_generation_steps.py
+++ b/features/steps/core_generation_steps.py
@@ -1,4 +1,4 @@
-"""Steps for generations and their readers, by the core alone."""
+"""Steps for generations and their readers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from piershore.wire.link_pb2 import Submit
 
 
-@then("each reader of {count:d} random histories sees tokens once and in order")
+@then("each reader of {count:d} random histories gets tokens once and in order")
 def check_streams(context, count):
     for seed in range(count):
         random = Random(seed)
@@ -44,7 +44,7 @@
                 generation.detach(1, random.choice(list(seen)), 0.0)
             elif (segment := generation.send()) is not None:
                 reader = segment.reader
-                assert reader.request == max(seen), "an older reader was fed"
+                assert reader.request == max(seen), "a superseded reader got tokens"
                 expected = seen[reader.request][-1]
                 assert segment.first_index == expected
                 end = expected + len(segment.tokens)
@@ -55,13 +55,13 @@
 
 
 class IdleEngine:
-    """An engine that is only closed."""
+    """An engine that supports only `close`."""
 
     async def close(self):
         pass
 
 
-@then("its reader is still told all tokens and the end")
+@then("its reader still gets all tokens and the end")
 def check_last_frames(context):
     frames = []
     settings_ = AgentSettings("hall", "s", "h:1", "http://p", "http://e")
--- a/features/steps/core_ownership_steps.py
+++ b/features/steps/core_ownership_steps.py
@@ -1,4 +1,4 @@
-"""Steps for slots, leases and keys: random histories of the core alone."""
+"""Steps for slots, leases and keys: random histories, using only the core."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OwnershipHistory:
-    """Two agents and their successors on one table, driven at random."""
+    """Random actions of two agents and their successors on one slot table."""
 
     def __init__(self, seed, slots):
         self.random = Random(seed)
@@ -53,7 +53,7 @@
             if self.random.random() < 0.8:
                 agent.finish(key, Answer(200, b""))
         elif isinstance(decision, RefuseKey) and decision.outcome == "not_run":
-            assert key.text not in self.runs, "a key that ran was called not run"
+            assert key.text not in self.runs, "a key that ran was reported as not run"
 
     def keep(self, agent, number):
         version, base = self.random.choice(self.versions[-2:])
@@ -92,10 +92,10 @@
 
 
 class ReturningHistory(OwnershipHistory):
-    """The same, on a store that comes back from older copies of itself.
+    """The same with a store that is restored from older copies of itself.
 
-    Each era has a record of its own. An agent goes by the era that the store's answers
-    told it last; an answer that tells another one teaches it that, and nothing else.
+    Each era has a record of its own. An agent uses the era of the store's last answer;
+    from an answer with another era it learns only that era.
     """
 
     def __init__(self, seed, slots):
@@ -118,14 +118,14 @@
         super().step()
 
     def run(self, agent, number):
-        """Send a key about this time, or one of the last ones again."""
+        """Send a key minted around the current time, or one of the last keys again."""
         if not self.keys or self.random.random() < 0.3:
             mint_time = max(1, self.now + self.random.randrange(-60, 260))
             self.keys = [*self.keys[-15:], MintedKey.mint(mint_time, self.random)]
         super().run(agent, number)
 
     def come_back(self):
-        """Lose the last changes of all records; their numbers are given out again."""
+        """Lose the last changes of all records; their numbers are assigned again."""
         lost = self.random.randrange(6)
         self.records = {
             era: versions[: max(1, len(versions) - lost)]
@@ -134,7 +134,7 @@
         self.era += 1
 
     def is_told(self, number):
-        """Ask the store something; tell whether its era is what the agent thought."""
+        """Read the store's era; return whether the agent knew it already."""
         thought, self.told[number] = self.told[number], self.era
         return thought == self.era
 
@@ -165,7 +165,9 @@
             super().resize(agent, number)
 
 
-@then("no key runs twice in {count:d} histories with {slots:d} slots and store returns")
+@then(
+    "no key runs twice in {count:d} histories with {slots:d} slots and a restored store"
+)
 def check_return_histories(context, count, slots):
     ran = eras = 0
     for seed in range(count):
@@ -185,11 +187,11 @@
         for _ in range(300):
             history.step()
         ran += len(history.runs)
-    assert ran > count, "hardly anything ran, so nothing was shown"
+    assert ran > count, "hardly anything ran, so the check proves nothing"
 
 
 def keep_leases(context, agents, seconds):
-    """Let the agents keep their leases in turn for some seconds."""
+    """Let the agents maintain their leases in turn for some seconds."""
     names = {name for name, _ in context.members}
     for _ in range(seconds * 4):
         context.clock += 250
@@ -203,7 +205,7 @@
     return {slot.last.owner.endpoint for slot in context.slots.current.slots}
 
 
-@then("of 3 agents, of which one came first, each owns some of 16 slots in the end")
+@then("each of 3 agents, of which one started first, owns some of 16 slots in the end")
 def check_shared(context):
     context.clock, context.version = 1_000_000, 1
     context.slots = SlotTable.create("s", 16, context.clock)
@@ -219,7 +221,7 @@
     assert slot_owners(context) == {"a", "b", "c"}, slot_owners(context)
 
 
-@then("when one of them falls silent the others own all slots in the end")
+@then("after one of them becomes silent the others own all slots in the end")
 def check_silent(context):
     agents = [agent for name, agent in context.members if name != "b"]
     keep_leases(context, agents, 60)
--- a/features/steps/core_parser_steps.py
+++ b/features/steps/core_parser_steps.py
@@ -1,4 +1,4 @@
-"""Steps for parsers of the product's own interface."""
+"""Steps for the parsers of input from outside the process."""
 
 from __future__ import annotations
 
@@ -30,6 +30,6 @@
 }
 
 
-@then("{parser} never fails in another way")
+@then("parsing {parser} raises only errors with a code")
 def check_parser(context, parser):
     check_coded_errors(*PARSERS[parser])
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -1,4 +1,4 @@
-"""Steps for an agent's upkeep of its leases, without processes."""
+"""Steps for an agent's maintenance of its leases, without processes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class OneRecordStore:
-    """Holds the slot record; reads are counted."""
+    """Stores the slot record and counts the reads."""
 
     era = 0
 
@@ -53,7 +53,7 @@
     return table
 
 
-@given("an agent that let its leases run out for another, which took all slots")
+@given("an agent that let its leases expire for another one, which took all slots")
 def given_lost_slots(context):
     now = int(time.time() * 1_000)
     first, second = (Owner(name, "1") for name in MEMBERS)
@@ -79,12 +79,12 @@
     )
 
 
-@when("it makes a round of its upkeep")
+@when("it maintains its leases once")
 def make_round(context):
     trio.run(context.keeper.keep)
 
 
-@then("it has read the record again, and wants the slots that it is preferred for")
+@then("it has read the record again, and requests the slots for which it is preferred")
 def check_wanted(context):
     assert context.store.reads == 1
     table = decode(SlotTable, context.store.stored.value)
