--- a/features/documents.feature
+++ b/features/documents.feature
@@ -1,17 +1,17 @@
-Feature: Documents in parts
+Feature: Documents in chunks
 
   Scenario: splitting and joining
-    Then any document is the same again after it was split and joined
-    And after an entry was added or removed all parts but a few are the same
+    Then any document is the same after it was split and joined
+    And after an entry was added or removed all chunks but a few are the same
 
-  Scenario: parts from several peers
-    Then a document put together from any peers, with breaks, is one that a peer had
-    And each reply but the last is no larger than its bound and brings something new
+  Scenario: chunks from several peers
+    Then a document assembled from any peers, with lost replies, is one that a peer had
+    And each reply is bounded in size, and each but the last has new chunks
 
-  Scenario: a part that is not what was asked for
-    When a peer answers with a part that its list doesn't name
-    Then the document isn't whole and the next request is the same
+  Scenario: a chunk that was not requested
+    When a peer replies with a chunk whose digest it doesn't list
+    Then the document isn't complete and the next request is the same
 
-  Scenario: messages that can't be read
-    Then reading a request or a reply raises only errors with a code
-    And a reply that unpacks to more than 16 MB is refused
+  Scenario: invalid messages
+    Then decoding a request or a reply raises only errors with a code
+    And a reply that decompresses to more than 16 MB is refused
--- a/features/steps/document_steps.py
+++ b/features/steps/document_steps.py
@@ -1,4 +1,4 @@
-"""Steps for documents in parts: pure functions, with generated documents."""
+"""Steps for documents in chunks: pure functions with generated documents."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
     return Document(revision, tuple(split(fields)))
 
 
-@then("any document is the same again after it was split and joined")
+@then("any document is the same after it was split and joined")
 def check_round_trip(context):
     @checked(FIELDS)
     def check(fields):
         assert join(split(fields)) == fields
 
 
-@then("after an entry was added or removed all parts but a few are the same")
+@then("after an entry was added or removed all chunks but a few are the same")
 def check_stability(context):
     @checked(st.integers(0, 10_000))
     def check(seed):
@@ -50,13 +50,14 @@
         else:
             entries.insert(place, random.getrandbits(40))
         changed = {part.digest for part in split({"entries": entries})} - before
-        # A part that was cut at its largest size moves the cuts up to the next one.
+        # A chunk that ends at its maximum size shifts all ends up to the next one that
+        # depends on contents.
         longest = MOST_ENTRIES // ENTRIES_A_PART
         assert len(changed) <= MOST_CHANGED_PARTS + longest, len(changed)
 
 
-@then("a document put together from any peers, with breaks, is one that a peer had")
-@then("each reply but the last is no larger than its bound and brings something new")
+@then("a document assembled from any peers, with lost replies, is one that a peer had")
+@then("each reply is bounded in size, and each but the last has new chunks")
 def check_assembly(context):
     @checked(st.integers(0, 10_000))
     def check(seed):
@@ -77,7 +78,7 @@
                 assert found == peer
                 return
             assert reply.parts
-        raise AssertionError("the document never became whole")
+        raise AssertionError("the document was never complete")
 
 
 def some_versions(random):
@@ -87,7 +88,7 @@
         yield document({"version": revision, "entries": list(entries)}, revision)
 
 
-@when("a peer answers with a part that its list doesn't name")
+@when("a peer replies with a chunk whose digest it doesn't list")
 def answer_with_other(context):
     context.assembly = DocumentAssembly()
     context.request = context.assembly.request(None)
@@ -96,13 +97,13 @@
     context.found = context.assembly.take(reply, None)
 
 
-@then("the document isn't whole and the next request is the same")
+@then("the document isn't complete and the next request is the same")
 def check_not_whole(context):
     assert context.found is None
     assert context.assembly.request(None) == context.request
 
 
-@then("reading a request or a reply raises only errors with a code")
+@then("decoding a request or a reply raises only errors with a code")
 def check_messages(context):
     packed = st.binary().map(zlib.compress)
     values = st.recursive(
@@ -119,10 +120,10 @@
                 assert error.code
 
 
-@then("a reply that unpacks to more than 16 MB is refused")
+@then("a reply that decompresses to more than 16 MB is refused")
 def check_bound(context):
     try:
         PartsReply.decode(zlib.compress(bytes(LARGEST_BYTES + 1)))
     except InvalidPartsError:
         return
-    raise AssertionError("it was taken")
+    raise AssertionError("it was accepted")
