--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a store that comes back from an older copy."""
+"""Steps for a store that is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 SHORT_SECONDS = 1.0
 LATER_CALLS = 12
 KEPT_SECONDS = 3.0
-"""A drain that was lost is kept for so long."""
+"""How long a lost drain is kept."""
 LAPSE_SECONDS = 3.6
-"""Three heartbeats, after which the store drops an entry that nobody writes."""
+"""Three heartbeats, after which the store drops an entry that isn't written."""
 
 
-@given("2 gateways before 3 endpoints of the desk, {watching}")
+@given("2 gateways in front of 3 desk endpoints, {watching}")
 def given_watching(context, watching):
     world = context.ingress = IngressWorld()
     world.add_endpoints("desk", 3)
     world._start_gateways = 2
-    context.one_watches = watching == "and one of them watches"
+    context.one_watches = watching == "one watching the store"
 
 
 def play(context, script):
@@ -61,12 +61,12 @@
     context.ingress.run(whole)
 
 
-@when("the store comes back from a copy of 30 changes before, without an endpoint")
+@when("the store is restored from a copy 30 changes older, without an endpoint")
 def come_back(context):
     context.steps = [lambda world: come_back_without(world, world.endpoints[2])]
 
 
-@when("an endpoint comes and another one goes for good {when} it")
+@when("an endpoint is added and another one removed {when} it")
 def change_endpoints(context, when):
     async def script(world):
         other = PublishedEndpoint("i-new", "desk", world.memory)
@@ -83,13 +83,13 @@
     play(context, script)
 
 
-@then("within {seconds:g} s both gateways use those that are listed and no other")
+@then("within {seconds:g} s both gateways use the listed endpoints and no other")
 def check_known(context, seconds):
     assert context.known == [context.wanted] * 2, context.known
 
 
 @then(
-    "the endpoint is used for {first:g} s more at both gateways, and after {last:g} s by none"
+    "both gateways use the endpoint for {first:g} s more, and after {last:g} s neither does"
 )
 def check_kept(context, first, last):
     async def script(world):
@@ -108,7 +108,9 @@
     play(context, script)
 
 
-@when("the store comes back without an endpoint, and that is back after {seconds:g} s")
+@when(
+    "the store is restored without an endpoint, which writes its entry after {seconds:g} s"
+)
 def come_back_and_list(context, seconds):
     async def script(world):
         everyone = identities(world)
@@ -130,7 +132,7 @@
     play(context, script)
 
 
-@then("it is never taken for gone")
+@then("neither gateway ever drops it")
 def check_never_gone(context):
     assert not context.unknown
 
@@ -141,7 +143,7 @@
             await world.call("once", number=number)
 
 
-@when("the store comes back from a copy in which an endpoint hadn't left yet")
+@when("the store is restored from a copy in which an endpoint hadn't left yet")
 def come_back_before_leaving(context):
     async def script(world):
         leaving, *staying = world.endpoints
@@ -156,19 +158,19 @@
 
 
 async def wait_era(world, era, gateways=(0, 1)):
-    """Wait until gateways have read the store's endpoints in an era."""
+    """Wait until gateways have read the list of endpoints in an era of the store."""
     with trio.fail_after(SETTLE_SECONDS):
         for number in gateways:
             while StoreRevision(state_of(world, number).directory.revision).era != era:
                 await trio.sleep(POLL_SECONDS)
 
 
-@then("neither gateway sends it anything")
+@then("neither gateway sends it requests")
 def check_unsent(context):
     assert context.endpoint.arrivals == []
 
 
-@when("the store comes back from a copy that still lists an endpoint that had gone")
+@when("the store is restored from a copy that still lists a removed endpoint")
 def come_back_with_gone(context):
     async def script(world):
         gone, *staying = world.endpoints
@@ -186,12 +188,12 @@
     play(context, script)
 
 
-@then("neither gateway sends it anything while its entry may lapse")
+@then("neither gateway sends it requests until its entry has expired")
 def check_held_back(context):
     assert context.sent == 0, context.sent
 
 
-@then("it is used again when it writes its entry")
+@then("it is used again once it writes its entry")
 def check_used_again(context):
     assert context.known == [identities(context.ingress)] * 2, context.known
 
@@ -202,7 +204,7 @@
     return base
 
 
-@when("the store comes back from a copy with the configuration before")
+@when("the store is restored from a copy with the previous configuration")
 def come_back_with_configuration(context):
     async def script(world):
         world.store.put("config", "main", with_routes(5, "old"))
@@ -235,17 +237,19 @@
     return [state_of(world, n).configuration.version for n in (0, 1)]
 
 
-@then("each gateway serves the route that came with the last one, and no old one")
+@then(
+    "each gateway serves the route of the last configuration, and not the previous one"
+)
 def check_routes(context):
     assert set(context.statuses) == {(200, 404)}, set(context.statuses)
 
 
-@then("a newer one is in force at both within {seconds:g} s")
+@then("a newer configuration is in force at both within {seconds:g} s")
 def check_newer(context, seconds):
     assert context.versions == [7, 7], context.versions
 
 
-@when("the store comes back from a copy without a drain, and that is written again")
+@when("the store is restored from a copy without a drain, which is written again")
 def come_back_without_drain(context):
     async def script(world):
         drained = world.endpoints[0]
@@ -282,7 +286,7 @@
     play(context, script)
 
 
-@then("nothing was sent to the drained hall")
+@then("no request was sent to the drained data hall")
 def check_drained(context):
     assert context.arrivals == 0, context.arrivals
 
@@ -303,8 +307,8 @@
     return [e for e in events if e.get("kind") == "store era"]
 
 
-@when('the store\'s answers tell "{era}" after era {first:d}')
-@when('the store\'s answers tell "" after era {first:d}')
+@when('the store\'s answers have the era "{era}" after era {first:d}')
+@when('the store\'s answers have the era "" after era {first:d}')
 def tell_era(context, first, era=""):
     log_of(context)
 
@@ -332,16 +336,16 @@
     context.ingress.run(script)
 
 
-@when("the store's answers tell an era of {digits:d} digits after era {first:d}")
+@when("the store's answers have an era of {digits:d} digits after era {first:d}")
 def tell_long_era(context, digits, first):
     tell_era(context, first, "9" * digits)
 
 
-@then("the gateway goes on, and says once what was wrong")
+@then("the gateway continues, and logs the fault once")
 def check_goes_on(context):
     assert context.known == {"i-0", "i-1", "i-2", "i-new"}, context.known
     told = [e["reason"] for e in findings(context)]
-    assert told, "nothing was said"
+    assert told, "no fault was logged"
     assert len(told) == len(set(told)) or len(told) <= 3, told
 
 
@@ -373,13 +377,13 @@
     context.ingress.run(script)
 
 
-@then("the gateway keeps what it knows, and takes up the store's present state later")
+@then("the gateway keeps its state, and applies the store's current state later")
 def check_earlier(context):
     assert context.during == {"i-1", "i-2"}, context.during
     assert context.later == {"i-0", "i-1", "i-2"}, context.later
 
 
-@then("the order of revisions is that of their eras, and then of their numbers")
+@then("revisions are ordered by their eras, and then by their numbers")
 def check_order(context):
     numbers = st.tuples(st.integers(0, LARGEST_ERA), st.integers(0, 2**40 - 1))
 
@@ -391,7 +395,7 @@
         assert StoreRevision(orjson.loads(orjson.dumps(first))) == first
 
 
-@then("any sequence of changes and returns leaves a directory at the store's list")
+@then("after any sequence of changes and restores a directory has the store's list")
 def check_sequences(context):
     fleet = list(fleet_of(4))
     steps = st.lists(st.sampled_from(["add", "drop", "copy", "return", "read"]))
@@ -427,7 +431,7 @@
         }
 
 
-@then("answers of the true era are passed over for {seconds:g} s, and taken then")
+@then("answers of the true era are ignored for {seconds:g} s, and then accepted")
 def check_fall(context, seconds):
     era = StoreEra()
     assert era.take("3", 0.0)
--- a/features/store_returns.feature
+++ b/features/store_returns.feature
@@ -1,60 +1,60 @@
-Feature: The store comes back from an older copy
+Feature: The store is restored from an older copy
 
-  # A directory at revision 120 that got the list of revision 80 went on with its own: a
-  # store that comes back from a copy gives its revisions out again, and the present list
-  # was taken for an old one. What changed later was heard of by watches; what had changed
-  # before the list was read was neither used nor dropped.
-  Scenario Outline: endpoints change <when> the return, <watching>
-    Given 2 gateways before 3 endpoints of the desk, <watching>
-    When the store comes back from a copy of 30 changes before, without an endpoint
-    And an endpoint comes and another one goes for good <when> it
-    Then within 5 s both gateways use those that are listed and no other
+  # A directory at revision 120 ignored the list of revision 80: a restored store assigns
+  # its revisions again, so that the current list was taken for an older one. Later changes
+  # arrived by watches, but endpoints that were added or removed before the list was read
+  # were neither used nor dropped.
+  Scenario Outline: endpoints change <when> the restore, <watching>
+    Given 2 gateways in front of 3 desk endpoints, <watching>
+    When the store is restored from a copy 30 changes older, without an endpoint
+    And an endpoint is added and another one removed <when> it
+    Then within 5 s both gateways use the listed endpoints and no other
 
     Examples:
-      | when      | watching                 |
-      | just with | each by itself           |
-      | just with | and one of them watches  |
-      | after     | each by itself           |
-      | after     | and one of them watches  |
+      | when   | watching                |
+      | during | each watching the store |
+      | during | one watching the store  |
+      | after  | each watching the store |
+      | after  | one watching the store  |
 
-  Scenario: an endpoint whose entry was lost is kept, and dropped if it isn't back
-    Given 2 gateways before 3 endpoints of the desk, each by itself
-    When the store comes back from a copy of 30 changes before, without an endpoint
-    Then the endpoint is used for 1 s more at both gateways, and after 5 s by none
+  Scenario: an endpoint whose entry was lost is kept for a while, and dropped without it
+    Given 2 gateways in front of 3 desk endpoints, each watching the store
+    When the store is restored from a copy 30 changes older, without an endpoint
+    Then both gateways use the endpoint for 1 s more, and after 5 s neither does
 
   Scenario: an endpoint whose entry was lost writes it again
-    Given 2 gateways before 3 endpoints of the desk, each by itself
-    When the store comes back without an endpoint, and that is back after 0.8 s
-    Then it is never taken for gone
+    Given 2 gateways in front of 3 desk endpoints, each watching the store
+    When the store is restored without an endpoint, which writes its entry after 0.8 s
+    Then neither gateway ever drops it
 
-  Scenario: what has left stays so, though the copy says that it is ready
-    Given 2 gateways before 3 endpoints of the desk, each by itself
-    When the store comes back from a copy in which an endpoint hadn't left yet
-    Then neither gateway sends it anything
+  Scenario: an endpoint that has left isn't used although it is ready in the copy
+    Given 2 gateways in front of 3 desk endpoints, each watching the store
+    When the store is restored from a copy in which an endpoint hadn't left yet
+    Then neither gateway sends it requests
 
-  # Its entry lapses in the store after three of its heartbeats.
-  Scenario: what had gone isn't used again while nobody writes its entry
-    Given 2 gateways before 3 endpoints of the desk, each by itself
-    When the store comes back from a copy that still lists an endpoint that had gone
-    Then neither gateway sends it anything while its entry may lapse
-    And it is used again when it writes its entry
+  # The store drops an entry after three heartbeats without a write.
+  Scenario: a removed endpoint isn't used again until it writes its entry
+    Given 2 gateways in front of 3 desk endpoints, each watching the store
+    When the store is restored from a copy that still lists a removed endpoint
+    Then neither gateway sends it requests until its entry has expired
+    And it is used again once it writes its entry
 
-  Scenario: the configuration in force doesn't go back
-    Given 2 gateways before 3 endpoints of the desk, each by itself
-    When the store comes back from a copy with the configuration before
-    Then each gateway serves the route that came with the last one, and no old one
-    And a newer one is in force at both within 4 s
+  Scenario: the configuration in force isn't replaced by an older one
+    Given 2 gateways in front of 3 desk endpoints, each watching the store
+    When the store is restored from a copy with the previous configuration
+    Then each gateway serves the route of the last configuration, and not the previous one
+    And a newer configuration is in force at both within 4 s
 
   Scenario: a drained data hall stays drained while operators write it again
-    Given 2 gateways before 3 endpoints of the desk, each by itself
-    When the store comes back from a copy without a drain, and that is written again
-    Then nothing was sent to the drained hall
+    Given 2 gateways in front of 3 desk endpoints, each watching the store
+    When the store is restored from a copy without a drain, which is written again
+    Then no request was sent to the drained data hall
     And a drain that isn't written again ends after 3 s
 
-  Scenario Outline: eras that can't be
+  Scenario Outline: invalid eras
     Given 1 gateway before sound endpoints
-    When the store's answers tell "<era>" after era 3
-    Then the gateway goes on, and says once what was wrong
+    When the store's answers have the era "<era>" after era 3
+    Then the gateway continues, and logs the fault once
 
     Examples:
       | era    |
@@ -64,21 +64,21 @@
       | 1e3    |
       | 99999999999999999999 |
 
-  # Python refuses to read a number of more than 4,300 digits: the error ended the
-  # gateway's following of the store.
-  Scenario: an era of more digits than a number may have
+  # Python refuses to parse an integer of more than 4,300 digits. The error ended the
+  # gateway's loop that follows the store.
+  Scenario: an era of more digits than Python parses
     Given 1 gateway before sound endpoints
-    When the store's answers tell an era of 5000 digits after era 3
-    Then the gateway goes on, and says once what was wrong
+    When the store's answers have an era of 5000 digits after era 3
+    Then the gateway continues, and logs the fault once
 
-  Scenario: answers of an earlier era
+  Scenario: answers from an earlier era
     Given 1 gateway before sound endpoints
     When the store answers from era 2 after era 3
-    Then the gateway keeps what it knows, and takes up the store's present state later
+    Then the gateway keeps its state, and applies the store's current state later
 
-  Scenario: one answer told an era that was far too high
-    Then answers of the true era are passed over for 10 s, and taken then
+  Scenario: one answer had an era that was far too high
+    Then answers of the true era are ignored for 10 s, and then accepted
 
-  Scenario: two revisions
-    Then the order of revisions is that of their eras, and then of their numbers
-    And any sequence of changes and returns leaves a directory at the store's list
+  Scenario: the order of revisions
+    Then revisions are ordered by their eras, and then by their numbers
+    And after any sequence of changes and restores a directory has the store's list
--- a/features/support/returning_store.py
+++ b/features/support/returning_store.py
@@ -1,4 +1,4 @@
-"""A store in memory that comes back from older copies, for virtual time."""
+"""An in-memory store that can be restored from older copies, for virtual time."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True)
 class Copy:
-    """What the store held at a moment."""
+    """The store's contents at one moment."""
 
     objects: dict[ObjectName, StoredObject]
     number: int
 
 
 class ReturningStore:
-    """Objects and one counter; `era` counts the returns."""
+    """Objects and one counter; `era` counts the restores."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -58,7 +58,7 @@
         self.era += 1
 
     def write(self, name, value, version, ids, era, as_version=None):
-        """Write if `version` is what is stored; `as_version` was lost before."""
+        """Write if `version` is the stored one; `as_version` is a lost one to restore."""
         current = self.objects.get(name)
         if (0 if current is None else current.version) != version:
             raise StaleVersionError("it has changed", current)
@@ -74,7 +74,7 @@
 
 
 class StoreClient(PlatformStore):
-    """One process's way to the store: what it has heard of the era, and cuts."""
+    """One process's client of the store, with its known era and its connection."""
 
     def __init__(self, store: ReturningStore) -> None:
         self._store = store
@@ -118,7 +118,7 @@
         while True:
             await self._call()
             if self._era != reached.era or reached.number < self._store.oldest:
-                raise WatchGapError("these changes are gone")
+                raise WatchGapError("these changes are no longer kept")
             events = [e for e in self._store.events if e[0] > reached.number]
             for _, change in events:
                 yield change
@@ -137,7 +137,7 @@
     async def _call(self) -> None:
         await trio.sleep(self._store.random.uniform(*CALL_SECONDS))
         if self._is_away():
-            raise PlatformUnavailableError("it is away")
+            raise PlatformUnavailableError("the store is unavailable")
         self._era = self._store.era
 
     def _is_away(self) -> bool:
--- a/features/support/store_returns.py
+++ b/features/support/store_returns.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy, and what two gateways know after it."""
+"""Restores of the store from older copies, and the endpoints that gateways use then."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def change_often(world, times):
-    """Let the store give out revisions that it will give out again."""
+    """Write unrelated entries, whose revisions a restored store assigns again."""
     for number in range(times):
         world.store.put("other", f"o-{number}", {})
 
@@ -22,7 +22,7 @@
 
 
 async def wait_known(world, names, seconds=SETTLE_SECONDS):
-    """Wait until both gateways use these endpoints; tell what they use."""
+    """Wait until both gateways use these endpoints; return those that they use."""
     with trio.move_on_after(seconds):
         while any(known_at(world, number) != names for number in (0, 1)):
             await trio.sleep(POLL_SECONDS)
@@ -38,7 +38,7 @@
 
 
 async def come_back_without(world, endpoint, times=30):
-    """Come back from a copy of before an endpoint wrote its entry."""
+    """Restore a copy that was made before an endpoint wrote its entry."""
     unlist(world, endpoint)
     copy = world.store.copy()
     change_often(world, times)
@@ -48,7 +48,7 @@
 
 
 async def come_back_from_before(world, change, staying):
-    """Come back from a copy of before a change that leaves these endpoints in use."""
+    """Restore a copy made before a change that leaves these endpoints in use."""
     copy = world.store.copy()
     change_often(world, 30)
     change()
@@ -58,7 +58,7 @@
 
 
 async def wait_present(world):
-    """Wait until both gateways' lists are those of the store's last revision."""
+    """Wait until both gateways' lists have the store's latest revision."""
     present = world.store.copy().revision
     with trio.fail_after(SETTLE_SECONDS):
         for number in (0, 1):
