--- a/features/steps/suspended_box_steps.py
+++ b/features/steps/suspended_box_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a box that is suspended: its steady clock doesn't count that time."""
+"""Steps for a suspended box, whose monotonic clock doesn't count the suspension."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SuspendedTime:
-    """The box's time since its start, with pauses that the process doesn't see."""
+    """Time since the box was booted, including suspensions of the box."""
 
     def __init__(self):
         self.paused = 0.0
@@ -29,7 +29,7 @@
     context.ingress.clock = BootClock(context.time)
 
 
-@given("a gateway before endpoints that keep silent")
+@given("a gateway in front of endpoints that don't answer")
 def given_silent(context):
     context.ingress = IngressWorld()
     context.ingress.add_endpoints("desk", 3, ["silent"] * 3)
@@ -57,7 +57,9 @@
     context.answered_at = time.monotonic()
 
 
-@then("no endpoint gets it after the pause, and it is answered within {seconds:g} s")
+@then(
+    "no endpoint gets it after the suspension, and it is answered within {seconds:g} s"
+)
 def check_over(context, seconds):
     assert len(context.ingress.arrivals()) == 1, len(context.ingress.arrivals())
     assert context.answered_at - context.woken_at < seconds
@@ -90,18 +92,18 @@
 
 
 async def _wait_watch(world):
-    """Wait for the begin of a watch, so that its end is far."""
+    """Wait until a watch starts, so that it doesn't end soon."""
     begun = len(world.store.watch_times)
     while not any(kind == "servers" for kind, _ in world.store.watch_times[begun:]):
         await trio.sleep(0.005)
 
 
-@then("the gateway knows within {seconds:g} s after the pause")
+@then("the gateway knows that within {seconds:g} s after the suspension")
 def check_known(context, seconds):
     assert context.known_after < seconds, context.known_after
 
 
-@then("it counts the time in which the box is suspended")
+@then("it includes the time during which the box is suspended")
 def check_clock(context):
     read = SuspendedTime()
     clock = BootClock(read)
--- a/features/suspended_box.feature
+++ b/features/suspended_box.feature
@@ -1,17 +1,18 @@
-Feature: A box that was suspended
+Feature: A suspended box
 
-  # A request's caller had left 3 s before, and its gateway sent it to a second endpoint
-  # with 1.4 s of its time left: the steady clock had not counted the pause.
-  Scenario: a request's time is over when the box wakes
-    Given a gateway before endpoints that keep silent
+  # A gateway sent a request to a second endpoint with 1.4 s of its timeout left, although
+  # the caller had left 3 s before: the monotonic clock hadn't counted the suspension.
+  Scenario: a request has timed out when the box resumes
+    Given a gateway in front of endpoints that don't answer
     When a repeatable request waits and the box is suspended for 5 s
-    Then no endpoint gets it after the pause, and it is answered within 0.3 s
+    Then no endpoint gets it after the suspension, and it is answered within 0.3 s
 
-  # The watch had been lost meanwhile, and was waited for as if it had just begun.
-  Scenario: the list of endpoints is older than it seems
+  # A watch was lost during the suspension, and the gateway waited for it as if it had just
+  # started.
+  Scenario: the list of endpoints became stale during the suspension
     Given a gateway before sound endpoints
     When an endpoint leaves while the box is suspended for 6 s and its watches are lost
-    Then the gateway knows within 1.0 s after the pause
+    Then the gateway knows that within 1.0 s after the suspension
 
   Scenario: the clock of all processes
-    Then it counts the time in which the box is suspended
+    Then it includes the time during which the box is suspended
