--- a/features/steps/foreign_entry_steps.py
+++ b/features/steps/foreign_entry_steps.py
@@ -1,4 +1,4 @@
-"""Steps for entries that somebody else wrote into the list of endpoints."""
+"""Steps for entries that other programs wrote into the list of endpoints."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 )
 
 
-@then("an entry names an endpoint only if all its fields are as endpoints write them")
+@then("an entry is accepted only if all its fields are as endpoints write them")
 def check_entries(context):
     @checked(
         st.sampled_from(sorted(SOUND)), ANYTHING | st.just(MISSING), examples=2_000
@@ -74,31 +74,31 @@
     "no address": {k: v for k, v in SOUND.items() if k != "address"},
     "a number for the service": {**SOUND, "service": 7},
     "a negative number of slots": {**SOUND, "slots": -6},
-    "an entry that is a text": "desk at 127.0.0.1:9",
-    "an entry that is nothing": None,
-    "bytes that are no text": {**SOUND, "service": "%BYTES%"},
+    "an entry that is a string": "desk at 127.0.0.1:9",
+    "an entry that is null": None,
+    "bytes that aren't UTF-8": {**SOUND, "service": "%BYTES%"},
     "a name that can't be sent": SOUND,
-    "an endless number": {**SOUND, "slots": "%ENDLESS%"},
-    "a birth that is a fraction": {**SOUND, "born": 1.5},
+    "a number of 401 digits": {**SOUND, "slots": "%ENDLESS%"},
+    "a start time that is a fraction": {**SOUND, "born": 1.5},
 }
 NAMES = {"a name that can't be sent": "i-9\r\nHost: other"}
 
 
 def _raw_dumps(value):
-    """Encode as the store does, with what no proper encoder writes."""
+    """Encode as the store does, but also bytes that no correct encoder writes."""
     data = orjson.dumps(value)
     data = data.replace(b'"%BYTES%"', b'"de\xff\xfesk"')
     return data.replace(b'"%ENDLESS%"', b"1" + b"0" * 400)
 
 
 class _RawJson:
-    """What the store's stand-in encodes and decodes with."""
+    """Replaces the JSON module of the store's stand-in."""
 
     dumps = staticmethod(_raw_dumps)
     loads = staticmethod(orjson.loads)
 
 
-@given("a gateway before endpoints, and {entry} in their list")
+@given("a gateway in front of endpoints, with {entry} in their list")
 def given_foreign(context, entry):
     world = context.ingress = IngressWorld()
     world.add_endpoints("desk", 3)
@@ -108,7 +108,7 @@
     world.log_output, context.log = tempfile.mkstemp()
 
 
-@when("it serves, and the entry is read several times")
+@when("it reads the entry several times and then serves requests")
 def serve_beside(context):
     async def script(world):
         _, daemon = world.gateways[0]
@@ -124,14 +124,14 @@
         context.ingress.run(script)
 
 
-@then("all requests are served by the others, and the entry is logged once")
+@then("the other endpoints serve all requests, and the entry is logged once")
 def check_others(context):
     assert {reply.status for reply in context.replies} == {200}
     assert context.known == {e.identity for e in context.ingress.endpoints}
     assert context.lines.count(b'"invalid_entry"') == 1, context.lines
 
 
-@when("the entry of a desk endpoint is overwritten and mended")
+@when("the entry of a desk endpoint is overwritten and repaired")
 def overwrite(context):
     async def script(world):
         first = world.endpoints[0]
@@ -150,14 +150,14 @@
 
 
 async def _wait_listed(world, endpoint, *, is_listed):
-    """Wait for a change of the list: a gateway that has just started reads it seldom."""
+    """Wait until the gateway's list has changed: right after its start it reads it rarely."""
     directory = world.gateways[0][1]._state.directory
     with trio.fail_after(IN_FORCE_SECONDS):
         while (directory.get(endpoint.identity) is not None) is not is_listed:
             await trio.sleep(0.005)
 
 
-@then("it gets no request meanwhile, and requests again after it")
+@then("it gets no requests in between, and requests again afterwards")
 def check_mended(context):
     assert {reply.status for reply in context.replies} == {200}
     assert context.meanwhile == 0
@@ -172,7 +172,7 @@
     object_client._revision(answer.body.get("at"))
 
 
-@then("reading an answer of the store raises only errors with a code")
+@then("decoding an answer of the store raises only errors with a code")
 def check_answers(context):
     body = st.fixed_dictionaries({"items": st.lists(ANYTHING), "at": ANYTHING})
     encoded = body.map(lambda value: repr(value).encode("utf-8", "surrogatepass"))
