--- a/features/steps/snapshot_steps.py
+++ b/features/steps/snapshot_steps.py
@@ -1,4 +1,4 @@
-"""Steps for snapshots of the configuration that a slow link carries in seconds."""
+"""Steps for snapshots of the configuration that take seconds on a slow link."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     all = ()
 
     def set_leaving_boxes(self, leaving):
-        """Take note of nothing."""
+        """Ignore the leaving boxes."""
 
 
 def account(name, version):
@@ -43,7 +43,7 @@
 
 
 def directory_with(address):
-    """Return a list on which the follower is no relay of its hall."""
+    """Return a directory in which the follower isn't a relay of its data hall."""
     directory = BoxDirectory()
     names = [name for name in ("a", "b", "c") if name != FOLLOWER]
     directory.update(
