--- a/src/piershore/ingress/attempts/__init__.py
+++ b/src/piershore/ingress/attempts/__init__.py
@@ -1,1 +1,1 @@
-"""One attempt at an endpoint, and what is noted of it."""
+"""Attempts to send a request to an endpoint, and their accounting."""
--- a/src/piershore/ingress/attempts/attempt_log.py
+++ b/src/piershore/ingress/attempts/attempt_log.py
@@ -1,4 +1,4 @@
-"""What is noted of each attempt: log lines, counters and the endpoint's health."""
+"""Accounting of attempts: log events, counters and the endpoint's health."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     AttemptOutcome.LIMITED,
 )
 COST_DIGITS = 3
-"""Digits of costs in logs; ties are decided by less than that."""
+"""Decimal places of costs in log events; smaller differences only break ties."""
 
 
 def note_attempt(
@@ -37,7 +37,7 @@
     number: int,
     work: GenerationWork | None = None,
 ) -> None:
-    """Log the choice of an endpoint with what it was made by."""
+    """Log the choice of an endpoint with the values that it was based on."""
     size = work.size if work else None
     state.log.write(
         AttemptStarted(
@@ -71,7 +71,7 @@
     error: AttemptFailedError,
     seconds: float,
 ) -> None:
-    """Count and log a failed attempt, and judge the endpoint by it."""
+    """Log and count a failed attempt; record it against the endpoint if at fault."""
     log_failure(state, exchange, endpoint, error, seconds)
     if error.outcome not in NO_FAULT_OF_ENDPOINT:
         judge_failing(state, endpoint)
@@ -80,7 +80,7 @@
 def judge_refusing(
     state: GatewayState, endpoint: Endpoint, error: AttemptFailedError
 ) -> None:
-    """Leave an endpoint out for a moment that has turned a new request away."""
+    """Record that an endpoint rejected a new request, which ejects it briefly."""
     if error.outcome is AttemptOutcome.REJECTED:
         now = trio.current_time()
         if state.health.note_refusal(endpoint.identity, now):
@@ -88,7 +88,7 @@
 
 
 def judge_failing(state: GatewayState, endpoint: Endpoint) -> None:
-    """Count a failure of an endpoint, which may leave it out for a while."""
+    """Record a failure of an endpoint, which may eject it for a while."""
     now = trio.current_time()
     state.failures.note(endpoint.identity, now, failed=True)
     if state.health.note_failure(endpoint.identity, now):
@@ -98,7 +98,7 @@
 
 
 def judge_shared(state: GatewayState, endpoint: Endpoint) -> None:
-    """Leave an endpoint out at which the gateways together see failures."""
+    """Eject an endpoint if the gateways together observe that it fails."""
     if not state.uses(Mechanism.SHARED_FAILURES):
         return
     now = trio.current_time()
@@ -115,7 +115,7 @@
     error: AttemptFailedError,
     seconds: float,
 ) -> None:
-    """Count and log a failed attempt; whose fault it was isn't known yet."""
+    """Log and count a failed attempt, without attributing it to the endpoint."""
     ingress_metrics.ATTEMPTS.labels(error.outcome).inc()
     state.log.write(
         AttemptEnded(
@@ -126,7 +126,7 @@
 
 
 def note_ejection(state: GatewayState, endpoint: Endpoint, reason: str) -> None:
-    """Log that an endpoint gets no work for a while."""
+    """Log that an endpoint is ejected: it gets no requests for a while."""
     rate = state.health.failure_rate(endpoint.identity)
     event = EndpointEjected(endpoint.identity, rate, reason)
     state.log.write(event, is_failure=True)
--- a/src/piershore/ingress/attempts/crash_watch.py
+++ b/src/piershore/ingress/attempts/crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds out whether an endpoint crashed, and lays it to the requests that ran there."""
+"""Detection of crashed endpoints, and of the requests that may have crashed them."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from piershore.telemetry.events import RequestExcused, RequestSuspected
 
 WAIT_SECONDS = 0.1
-"""Longest wait for the answer whether an endpoint is there, before its request is sent
-on: an endpoint that crashed refuses connections within some ms."""
+"""Maximum wait for the result of a check before the request is sent to another
+endpoint: one that has crashed refuses connections within a few milliseconds."""
 CHECK_PAUSES_SECONDS = (0.0, 0.1, 0.4)
-"""Pauses before each look whether an endpoint is there: one that has crashed may take
-or close connections for a moment until its port is closed."""
+"""Delay before each probe of an endpoint: one that has crashed may accept or close
+connections for a moment, until its port is closed."""
 SWEEP_SECONDS = 2.0
 
 
 class CrashWatch:
-    """Checks endpoints whose answers broke off."""
+    """Checks whether endpoints whose answers broke off have crashed."""
 
     def __init__(
         self,
@@ -46,14 +46,17 @@
         self._tell: Callable[[str], None] = _tell_nobody
 
     def start(self, nursery: trio.Nursery, tell: Callable[[str], None]) -> None:
-        """Run checks in a nursery; `tell` gets the content of what peers must know."""
+        """Run checks in a nursery.
+
+        `tell` gets the content of each request whose state peers must know.
+        """
         self._nursery = nursery
         self._tell = tell
 
     def note_break(self, endpoint: Endpoint) -> None:
-        """Check an endpoint at which an answer broke off.
+        """Check an endpoint whose answer broke off, unless it is leaving.
 
-        One that has said that it leaves ends as planned.
+        An endpoint that announced that it leaves ends as planned.
         """
         identity = endpoint.identity
         if identity in self._crashed:
@@ -67,20 +70,20 @@
         self._nursery.start_soon(self._check, endpoint)
 
     def note_gone(self, endpoint: Endpoint) -> None:
-        """Take an endpoint that went without a notice for crashed.
+        """Treat an endpoint that was removed without a notice as crashed.
 
-        One that serves on excuses its requests when it answers them.
+        If it still serves, its completed answers clear the suspected requests.
         """
         if endpoint.stage is not EndpointStage.LEAVING:
             self._note_crash(endpoint.identity)
 
     def note_sent(self, content: str) -> None:
-        """Note that a request goes to an endpoint."""
+        """Record that a request is sent to an endpoint; report a probe to the peers."""
         if self._quarantine.note_sent(content, trio.current_time()):
             self._tell(content)
 
     def note_whole(self, request: str, content: str) -> None:
-        """Note that an endpoint has run a request to its end."""
+        """Record that an endpoint completed a request, which clears its crashes."""
         if not self._quarantine.note_whole(content, trio.current_time()):
             return
         self._log.write(RequestExcused(request, content), is_failure=True)
@@ -88,14 +91,14 @@
         self._tell(content)
 
     async def wait_checked(self, endpoint: Endpoint) -> None:
-        """Wait a moment until it is known whether an endpoint crashed."""
+        """Wait briefly for the result of a check, if one is running."""
         check = self._checks.get(endpoint.identity)
         if check is not None:
             with trio.move_on_after(WAIT_SECONDS):
                 await check.wait()
 
     async def sweep(self) -> None:
-        """Forget old runs and crashes, for ever."""
+        """Drop old runs and crashes periodically; never return."""
         while True:
             await trio.sleep(SWEEP_SECONDS)
             now = trio.current_time()
@@ -111,7 +114,7 @@
             self._checks.pop(endpoint.identity).set()
 
     async def _look(self, endpoint: Endpoint) -> None:
-        """Look some times whether an endpoint is there; the first look ends waits."""
+        """Probe an endpoint a few times; the first result releases waiting tasks."""
         identity, is_there = endpoint.identity, None
         for pause in CHECK_PAUSES_SECONDS:
             await trio.sleep(pause)
@@ -130,7 +133,7 @@
         self._blame(identity)
 
     def _blame(self, identity: str) -> None:
-        """Suspect the requests that the endpoint had just begun to run."""
+        """Suspect the requests that the endpoint had just started to run."""
         now, quarantine = trio.current_time(), self._quarantine
         for run in list(self._runs.suspects(identity, now)):
             crashes = quarantine.note_crash(run.content, identity, now)
@@ -147,4 +150,4 @@
 
 
 def _tell_nobody(content: str) -> None:
-    """Tell nobody: there are no peers yet."""
+    """Do nothing: there are no peers yet."""
--- a/src/piershore/ingress/attempts/endpoint_attempt.py
+++ b/src/piershore/ingress/attempts/endpoint_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at an endpoint: a request sent and the head of its answer."""
+"""One attempt to send a request to an endpoint and read its answer."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from piershore.ingress.ports import EndpointAnswer, ForwardOrder
 
 SENT_AT_ONCE_BYTES = 8_192
-"""Larger bodies are sent while the answer is awaited, which may come early; whether
-the endpoint has read all of it isn't known then, so the connection isn't used again."""
+"""Larger bodies are sent while the answer is awaited, which may arrive early. Whether
+the endpoint has read the whole body is unknown then, so the connection isn't reused."""
 
 
 class EndpointAttempt:
-    """Sends the request; its `answer` is known after `start`."""
+    """Sends a request to an endpoint; `start` sets `answer`."""
 
     def __init__(
         self,
@@ -43,20 +43,21 @@
         self.head: ResponseHead | None = None
         self.answer: EndpointAnswer | None = None
         self.may_have_run = False
-        # At once with the choice: others choose while this one connects.
+        # Counted before connecting: other requests choose an endpoint meanwhile.
         now = trio.current_time()
         state.cold.note_sent(endpoint, now)
         self._is_counted = state.limits.claim(endpoint, now)
 
     @property
     def is_unanswered(self) -> bool:
-        """Whether the request was sent and no head of an answer has come."""
+        """Whether the request was sent and no head of an answer was received."""
         return self.may_have_run and self.head is None
 
     async def start(self, order: ForwardOrder) -> EndpointAnswer:
         """Send the request and read the answer's head.
 
-        Raise `AttemptFailedError` if that fails or the endpoint did not run it.
+        Raise `AttemptFailedError` if that fails or the endpoint did not run the
+        request.
         """
         exchange = self._exchange
         try:
@@ -99,7 +100,7 @@
         return body
 
     async def read_parts(self) -> AsyncIterator[bytes]:
-        """Yield the parts of the body; raise `ExchangeBrokenError` if it breaks."""
+        """Yield the body in chunks; raise `ExchangeBrokenError` if it breaks off."""
         try:
             async for part in self._connection.read_parts():
                 self._run.note_part(trio.current_time())
@@ -110,7 +111,7 @@
         self._is_whole = True
 
     async def close(self) -> None:
-        """Give the connection back, or close it if the exchange isn't over."""
+        """Return the connection to the pool; close it if the answer is incomplete."""
         self._end_run()
         connection, self._connection = self._connection, None
         if connection is None:
@@ -123,42 +124,43 @@
             )
 
     def record_served(self) -> None:
-        """Note that the caller gets this answer: the request doesn't crash endpoints.
+        """Record that the caller gets this answer: the request crashes no endpoints.
 
-        An answer that nobody gets, though it came to its end, tells nothing of that.
+        A complete answer that isn't passed to the caller proves nothing of the kind.
         """
         exchange = self._exchange
         self._state.crash_watch.note_whole(exchange.identity, exchange.content)
 
     def _check_rest(self) -> None:
-        """Send nothing if the endpoint has asked for rest while this connected."""
+        """Fail if the endpoint asked callers to back off while this connected."""
         now = trio.current_time()
         if self._state.rests.is_resting(self.endpoint.identity, now):
             raise AttemptFailedError(
-                AttemptOutcome.RESTING, "the endpoint has asked for rest"
+                AttemptOutcome.RESTING, "the endpoint has asked callers to back off"
             )
 
     def _check_limit(self) -> None:
-        """Send nothing beyond the rate that the endpoint takes."""
+        """Fail if the request would exceed the endpoint's rate limit."""
         limits, now = self._state.limits, trio.current_time()
         if self._is_counted or not limits.is_limited(self.endpoint.identity):
             return
         self._is_counted = limits.claim(self.endpoint, now)
         if not self._is_counted:
             raise AttemptFailedError(
-                AttemptOutcome.LIMITED, "the endpoint takes no more requests now"
+                AttemptOutcome.LIMITED, "the rate limit of the endpoint is reached"
             )
 
     def _begin_run(self) -> None:
-        """Note that the endpoint gets the request, unless it is held.
+        """Record that the endpoint gets the request; fail if it is quarantined.
 
-        All ways to send a request lead through here: first tries and retries, streams
-        that go on from a copy or a backup, and those that run anew.
+        All ways to send a request pass through here: first attempts and retries,
+        streams that continue from a copy or a backup, and streams that restart.
         """
         state, exchange = self._state, self._exchange
         if exchange.seconds_held(state.quarantine) is not None:
             raise AttemptFailedError(
-                AttemptOutcome.HELD, "endpoints have crashed under this request"
+                AttemptOutcome.HELD,
+                "the request is quarantined: endpoints have crashed while running it",
             )
         state.crash_watch.note_sent(exchange.content)
         self._run = state.runs.begin(
@@ -166,7 +168,7 @@
         )
 
     def _end_run(self) -> None:
-        """Note how the run ended, and what that tells of request and endpoint."""
+        """Record how the run ended; check the endpoint if its answer broke off."""
         run, self._run = self._run, None
         if run is None:
             return
@@ -201,5 +203,5 @@
         try:
             await connection.send(head, self._exchange.body)
         except (ExchangeBrokenError, trio.ClosedResourceError):
-            # The reader of the answer sees the break and decides.
+            # The task that reads the answer detects the failure and handles it.
             return
--- a/src/piershore/ingress/attempts/endpoint_notices.py
+++ b/src/piershore/ingress/attempts/endpoint_notices.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves in the heads of their answers."""
+"""Notices of endpoints about themselves, in the heads of their answers."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 
 def _ignore(departures: Iterable[Departure]) -> None:
-    """Do nothing for endpoints that leave: the process has not started yet."""
+    """Ignore endpoints that leave: the process has not started yet."""
 
 
 def _announce_nothing() -> None:
-    """Tell no peer: the process has not started yet."""
+    """Send nothing to peers: the process has not started yet."""
 
 
 class EndpointNotices:
-    """Takes the head of each answer that an endpoint gives to anything.
+    """Receives the head of each answer of an endpoint, and applies its notice.
 
-    Reports that were asked for say in their bodies that an endpoint leaves.
+    The answer to a probe states in its body, a report, whether the endpoint leaves.
     """
 
     def __init__(
@@ -58,15 +58,16 @@
         self._announce: Callable[[], None] = _announce_nothing
 
     def start(self, on_departures: OnDepartures, announce: Callable[[], None]) -> None:
-        """Let `on_departures` do what follows when endpoints leave.
+        """Set the callbacks.
 
-        `announce` tells peers soon of a limit that has begun or ended.
+        `on_departures` is called when endpoints leave, `announce` when a rate limit
+        has begun or ended, so that peers soon receive it.
         """
         self._on_departures = on_departures
         self._announce = announce
 
     def take(self, endpoint: Endpoint, head: ResponseHead) -> None:
-        """Note what an answer asks."""
+        """Apply the notice in an answer's head, if there is one."""
         notice = self._dialect.read_notice(head)
         if notice == NO_NOTICE:
             return
@@ -75,7 +76,7 @@
             self._apply(endpoint, notice, head.status)
 
     def take_report(self, endpoint: Endpoint, report: EndpointReport) -> None:
-        """Note what a report says, if it is of the incarnation that was asked."""
+        """Apply a report, if it is from the incarnation that was probed."""
         born = endpoint.born
         if report.is_of_earlier(born) or report.is_of_later(born):
             return
--- a/src/piershore/ingress/attempts/rate_limit_monitor.py
+++ b/src/piershore/ingress/attempts/rate_limit_monitor.py
@@ -1,4 +1,4 @@
-"""Log lines and gauges of the rates that endpoints take."""
+"""Log events and gauges of the rate limits that endpoints advertise."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from piershore.telemetry.events import EndpointLimitChanged
 
 OWN_ANSWER = "endpoint"
-"""Source of what an endpoint's answer to this gateway named."""
+"""Source of a limit that an endpoint advertised in an answer to this gateway."""
 
 
 class RateLimitMonitor:
-    """Tells when a limit begins, changes or ends, and who told of it."""
+    """Logs when a rate limit begins, changes or ends, and who reported it."""
 
     def __init__(
         self, limits: EndpointRateLimits, directory: EndpointDirectory, log: EventLog
@@ -29,12 +29,12 @@
         self._measured: set[str] = set()
 
     def apply_report(self, told: Mapping[str, RateReport], peer: str) -> None:
-        """Take what a peer's answers named."""
+        """Apply the rate limits that endpoints advertised to a peer."""
         for identity in self._limits.apply_report(told, trio.current_time()):
             self.record_change(identity, peer)
 
     def record_change(self, identity: str, source: str = OWN_ANSWER) -> None:
-        """Log that an endpoint takes another rate than before."""
+        """Log that the rate limit of an endpoint has changed."""
         endpoint = self._directory.get(identity)
         if endpoint is None:
             return
@@ -49,7 +49,7 @@
         self._log.write(event, is_failure=True)
 
     def measure(self) -> None:
-        """Drop what is old, and set the gauges."""
+        """Drop expired limits, and set the gauges."""
         self._limits.forget_old(trio.current_time())
         limited = set(self._limits.limited())
         for identity in self._measured - limited:
