--- a/src/piershore/ingress/__init__.py
+++ b/src/piershore/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway before callers that speak HTTP to routes of their own."""
+"""The gateway that forwards callers' HTTP requests along configured routes."""
--- a/src/piershore/ingress/daemon.py
+++ b/src/piershore/ingress/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway process before routes of the platform."""
+"""The process of a gateway that forwards requests along the platform's routes."""
 
 from __future__ import annotations
 
@@ -55,23 +55,24 @@
 )
 
 WATCH_SECONDS = 4.0
-"""How long a watch waits: a silent cut shows after this; each call has a price."""
+"""Timeout of a watch. A connection that was cut silently is detected after it; a
+shorter timeout would need more calls, and each call has a price."""
 DRAIN_WATCH_SECONDS = 12.0
-"""Longer, since drains are rare and each call has a price: a connection that has gone
-silent shows by its probes after 2 s, and what a watcher misses peers tell."""
+"""Longer than `WATCH_SECONDS`, since drains are rare and each call has a price. TCP
+probes detect a silent connection after 2 s, and peers report what a watcher misses."""
 FRESH_SLACK_SECONDS = 1.5
-"""How much longer than a watch waits its answer may take to count as fresh."""
+"""Added to the timeout of a watch: an answer counts as fresh up to this age."""
 LEAVE_SECONDS = 2.6
-"""The platform takes a box out after two missed checks, one a second."""
+"""The platform stops routing to a box after two failed checks, one a second."""
 STOP_MARGIN_SECONDS = 0.4
-"""Time kept to end before the platform kills the process."""
+"""Time reserved for exiting before the platform kills the process."""
 SWEEP_SECONDS = 1.0
 RESTART_SECONDS = 0.2
-"""Pause before a task that failed by a fault of the program is run again."""
+"""Delay before a task that failed with an unexpected error is restarted."""
 
 
 class IngressDaemon:
-    """Serves callers until it is told to stop."""
+    """Runs a gateway until it is told to stop."""
 
     def __init__(
         self,
@@ -230,7 +231,7 @@
             nursery.start_soon(self._supervise, task)
 
     async def _supervise(self, task: Callable[[], Awaitable[None]]) -> None:
-        """Run a task for ever, again after a fault of the program."""
+        """Run a task forever; restart it after an unexpected error."""
         while True:
             try:
                 await task()
@@ -264,7 +265,7 @@
     def _on_drained(
         self, view: DrainedHalls, before: frozenset[str], source: str
     ) -> None:
-        """Send nothing more to drained halls; streams that run there go on.
+        """Send no new work to drained data halls; streams that run there continue.
 
         They end by themselves, or move when their endpoint leaves.
         """
@@ -317,9 +318,9 @@
 
     @staticmethod
     def _end_streams(streams: Iterable[LiveStream]) -> None:
-        """Wait no longer for streams whose endpoint has lost them.
+        """Stop waiting for streams whose endpoint has lost them.
 
-        They go on at their copy or backup, if they have one.
+        They continue from their copy or backup, if they have one.
         """
         for stream in streams:
             stream.give_up_endpoint()
@@ -340,7 +341,7 @@
         stop: trio.Event,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Take signals for the whole life: one that comes again must not cut it."""
+        """Handle signals until the process ends: a repeated one must not kill it."""
         with open_stop_receiver(signal.SIGHUP) as signals:
             task_status.started()
             async for number in signals:
@@ -353,7 +354,7 @@
                 )
 
     async def leave(self) -> None:
-        """Serve on until nothing is in flight, or the platform would kill us."""
+        """Keep serving until no request is in flight or `stops_at` is reached."""
         now = trio.current_time()
         self._state.leaving_since = now
         self._state.stops_at = now + self._settings.stop_grace - STOP_MARGIN_SECONDS
--- a/src/piershore/ingress/exceptions.py
+++ b/src/piershore/ingress/exceptions.py
@@ -7,7 +7,7 @@
 
 
 class AttemptFailedError(PiershoreError):
-    """An attempt gave no answer that can be passed on."""
+    """An attempt yielded no answer that can be forwarded."""
 
     code = "attempt_failed"
 
@@ -17,7 +17,7 @@
 
 
 class RequestRefusedError(PiershoreError):
-    """The gateway gives the final answer itself."""
+    """The gateway refuses a request with an answer of its own."""
 
     def __init__(
         self, status: int, code: str, message: str, retry_after: float | None = None
--- a/src/piershore/ingress/gateway_state.py
+++ b/src/piershore/ingress/gateway_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one gateway share."""
+"""State that the components of one gateway share."""
 
 from __future__ import annotations
 
@@ -42,30 +42,30 @@
 
 
 def _nothing() -> None:
-    """Tell nobody: there are no peers yet."""
+    """Announce nothing: there are no peers yet."""
 
 
 def _tell_nobody(endpoint: Endpoint) -> None:
-    """Tell nobody of new work: there are no peers yet."""
+    """Announce no new work: there are no peers yet."""
 
 
 def _at_once() -> float:
-    """Return when to come back as long as no peers are known."""
+    """Return the delay of retries as long as no peers are known."""
     return AT_ONCE_SECONDS
 
 
 @dataclass
 class GatewayState:
-    """Beliefs, decisions and connections of one gateway.
-
-    `policies` are the ways of deciding;
-    `gateways` is how many gateways are thought to live, this one included;
-    `host` is its own address among the peers; `announce` tells all peers soon of a
-    configuration, `announce_failure` of a failed attempt, `tell_load` those who share
-    an endpoint of new work there.
-    `seconds_until_taken` tells when a caller that this gateway refuses, since it
-    leaves, finds another one. `leaving_since` is when the process was told to stop,
-    `stops_at` when it ends at the latest.
+    """Estimates, decisions and connections of one gateway.
+
+    `policies` are the algorithms in use; `gateway_count` is the estimated number of
+    live gateways, this one included; `host` is this gateway's address among its peers.
+
+    `announce` soon reports the configuration to all peers, `announce_failure` a failed
+    attempt, and `announce_load` new work at an endpoint to the peers that share it.
+    `seconds_until_peer_accepts` returns in how many seconds another gateway accepts a
+    request that this one refuses because it leaves. `leaving_since` is when the process
+    was told to stop, `stops_at` when it ends at the latest.
     """
 
     data_hall: str
@@ -129,7 +129,7 @@
         )
 
     def uses(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is on."""
+        """Return whether a mechanism is enabled."""
         return mechanism not in self.policies.disabled
 
     @property
@@ -138,28 +138,28 @@
         return self.leaving_since is not None
 
     def allowance(self, service: str) -> RetryAllowance:
-        """Return the retries of a service."""
+        """Return the retry budget of a service."""
         if service not in self._allowances:
             self._allowances[service] = RetryAllowance(self.retry_limits)
         return self._allowances[service]
 
     def returns(self, service: str) -> ReturnSchedule:
-        """Return the places that refused callers of a service were told of."""
+        """Return the schedule by which refused callers of a service retry."""
         return self._returns.setdefault(service, ReturnSchedule())
 
     def retries_left(self) -> Iterator[tuple[str, float]]:
-        """Yield what is left of the retries of each service that was called."""
+        """Yield the remaining retry budget of each service that was called."""
         now = trio.current_time()
         for service, allowance in self._allowances.items():
             yield service, allowance.left(now, self.gateways)
 
     def note_success(self, identity: str) -> None:
-        """Count an attempt that an endpoint answered well."""
+        """Record an attempt that an endpoint answered successfully."""
         self.health.note_success(identity)
         self.failures.note(identity, trio.current_time(), failed=False)
 
     def may_retry(self, service: str) -> bool:
-        """Take a retry from the budget, if there is one."""
+        """Spend a retry of the budget; return False if none is left."""
         if not self.uses(Mechanism.SECOND_RUNS):
             return False
         return self.allowance(service).spend(trio.current_time(), self.gateways)
--- a/src/piershore/ingress/live_stream.py
+++ b/src/piershore/ingress/live_stream.py
@@ -1,4 +1,4 @@
-"""A stream under way, and where it may go on."""
+"""Streams in progress, and the endpoints at which they may continue."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from piershore.ingress.ports import MemoryCopy
 
 BACK_AT_SOURCE_SECONDS = 1.0
-"""A source that leaves may get its stopped run back for so long after the notice; it
-must get no new work 2 s after it."""
+"""Time after the notice in which a leaving source may still continue the run that it
+stopped; from 2 s after the notice it must get no new work."""
 BACKUP_SECONDS = 0.8
-"""A backup is complete so long after the first event: the copy of a long prompt
-takes up to 0.4 s, and what is new is sent some times a second."""
+"""Time from the first event until a backup is complete: copying a long prompt takes up
+to 0.4 s, and newer memory is sent several times a second."""
 
 
 @dataclass
 class Handover:
-    """A move to another endpoint.
+    """A move of a stream to another endpoint.
 
-    `copy` is set once there is one at `target`; `run_stopped` when the source was
-    told to stop the run, and `is_settled` when nothing more will be done for it.
-    `noticed` is when the source was known to leave.
+    `copy` is set once `target` holds a copy of the memory, `run_stopped` once the
+    source was told to stop the run, and `is_settled` once no more work is done for the
+    move. `noticed_at` is when the source was known to leave.
     """
 
     source: Endpoint
@@ -39,7 +39,7 @@
     is_settled: trio.Event = field(default_factory=trio.Event)
 
     def places(self, now: float) -> tuple[Endpoint, ...]:
-        """Return where the stream may go on: a leaving source only for a short time."""
+        """Return where the stream may continue; at the source only for a short time."""
         if now - self.noticed > BACK_AT_SOURCE_SECONDS:
             return (self.target,)
         return self.target, self.source
@@ -49,9 +49,10 @@
 class LiveStream:
     """One stream of a caller; `endpoint` runs it now.
 
-    `backup` gets its memory as it grows; `reading_scope` is the wait for the next
-    part from the present endpoint, `waiting_since` its begin; the endpoint
-    `is_given_up` when the stream shall go on elsewhere.
+    `backup` is the endpoint that receives a copy of its memory as it grows.
+    `reading_scope` cancels the wait for the next chunk from the current endpoint,
+    `waiting_since` is when that wait started. `is_given_up` is set when the stream is
+    to continue at another endpoint.
     """
 
     exchange: Exchange
@@ -70,13 +71,13 @@
     first_seconds: float = 0.0
 
     def give_up_endpoint(self) -> None:
-        """Stop reading from the present endpoint; what was read is passed on."""
+        """Stop reading from the current endpoint; what was read is forwarded."""
         self.is_given_up = True
         if self.reading_scope is not None:
             self.reading_scope.cancel()
 
     def settle_at(self, endpoint: Endpoint, backup: Endpoint | None) -> None:
-        """Go on at another endpoint."""
+        """Continue at another endpoint."""
         self.endpoint = endpoint
         self.backup = backup
         self.handover = None
@@ -87,12 +88,12 @@
 
     @property
     def has_backup(self) -> bool:
-        """Whether its memory is at another endpoint by now."""
+        """Whether another endpoint has a complete copy of its memory by now."""
         begun_for = trio.current_time() - self.leg_began_at
         return self.backup is not None and begun_for > BACKUP_SECONDS
 
     def note(self) -> StreamNote:
-        """Return what peers are told when the endpoint leaves."""
+        """Return the report that peers get when the endpoint leaves."""
         return StreamNote(
             self.exchange.identity,
             self.work.held_tokens,
@@ -101,7 +102,7 @@
         )
 
     def note_events(self, count: int, now: float, tokens_an_event: int) -> None:
-        """Count events that were passed on."""
+        """Record events that were forwarded to the caller."""
         if not self.work.has_begun:
             self.work.has_begun = True
             self.first_seconds = self.exchange.age
@@ -114,7 +115,7 @@
 
 
 def backup_handover(stream: LiveStream) -> Handover:
-    """Return the move of a stream to its backup; its run is not stopped before."""
+    """Return the move of a stream to its backup, without stopping its run first."""
     copy = MemoryCopy(stream.backup.address, stream.exchange.identity)
     handover = Handover(stream.endpoint, stream.backup, copy)
     handover.is_settled.set()
@@ -135,19 +136,19 @@
         return iter(list(self._streams.values()))
 
     def add(self, stream: LiveStream) -> None:
-        """Take up a stream."""
+        """Add a stream that has started."""
         self._streams[id(stream)] = stream
 
     def remove(self, stream: LiveStream) -> None:
-        """Drop a stream that ended."""
+        """Remove a stream that has ended."""
         self._streams.pop(id(stream), None)
 
     def is_live(self, stream: LiveStream) -> bool:
-        """Tell whether the stream has not ended."""
+        """Return whether the stream has not ended."""
         return id(stream) in self._streams
 
     def drop_backups(self, identity: str) -> list[LiveStream]:
-        """Forget the backups at an endpoint that leaves; return their streams."""
+        """Drop the backups at an endpoint that leaves; return their streams."""
         streams = [
             stream
             for stream in self._streams.values()
@@ -158,22 +159,22 @@
         return streams
 
     def endpoints(self) -> set[str]:
-        """Return the endpoints that run or copy streams."""
+        """Return the identities of the endpoints that run or copy streams."""
         running = {s.endpoint.identity for s in self._streams.values()}
         return running | {source for source, _ in self._copied_from.values()}
 
     def begin_copy(self, stream: LiveStream, source: str) -> None:
-        """Note that the endpoint `source` copies the stream's memory."""
+        """Record that the endpoint `source` copies the stream's memory."""
         self._copied_from[id(stream)] = (source, stream)
 
     def end_copy(self, stream: LiveStream) -> None:
-        """Note that the copy is done."""
+        """Record that the copy has ended."""
         self._copied_from.pop(id(stream), None)
 
     def notes(self, identity: str) -> Iterator[StreamNote]:
-        """Yield a note for each stream that an endpoint runs or copies.
+        """Yield a report on each stream that an endpoint runs or copies.
 
-        A copy keeps the endpoint's link busy even if its stream has ended.
+        A copy occupies the endpoint's link even if its stream has ended.
         """
         for stream in self.at(identity):
             yield stream.note()
--- a/src/piershore/ingress/ports.py
+++ b/src/piershore/ingress/ports.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of the platform's adapter."""
+"""Interfaces that the platform's adapter implements for the gateway."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A caller's request as read from its head.
+    """A caller's request as decoded from its head.
 
-    `time_left` is how many seconds the caller will wait, if it says so.
+    `time_left` is how many seconds the caller waits, if the request says so.
     """
 
     head: RequestHead
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class MemoryCopy:
-    """Where a generation's memory lies: a copy's name at its holder."""
+    """The location of a copy of a generation's memory: its name at its holder."""
 
     holder: Address
     name: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class ForwardOrder:
-    """What the gateway adds to a request for an endpoint; times in seconds."""
+    """What the gateway adds to a request that it forwards; times are in seconds."""
 
     time_left: float
     account: AccountRef | None
@@ -58,9 +58,9 @@
 
 @dataclass(frozen=True)
 class EndpointAnswer:
-    """What an endpoint's answer says of the request.
+    """What the head of an endpoint's answer says about the request.
 
-    `is_sound` holds for an answer that may be passed on as the endpoint's own.
+    `is_valid` is whether the answer may be forwarded as the endpoint's own.
     """
 
     status: int
@@ -82,11 +82,11 @@
 
 
 class RequestDialect(ABC):
-    """Reads and writes heads of requests and answers."""
+    """Decodes and encodes the heads of requests and answers."""
 
     @abstractmethod
     def read_request(self, head: RequestHead) -> CallerRequest:
-        """Decode a caller's request; raise `BadRequestError` if it is faulty."""
+        """Decode a caller's request; raise `BadRequestError` if it is malformed."""
 
     @abstractmethod
     def for_endpoint(
@@ -96,11 +96,11 @@
         endpoint: Endpoint,
         order: ForwardOrder,
     ) -> RequestHead:
-        """Return the head that the endpoint gets."""
+        """Return the head of the request to the endpoint."""
 
     @abstractmethod
     def is_own_answer(self, request: CallerRequest, head: ResponseHead) -> bool:
-        """Tell whether an answer belongs to this request and to no other."""
+        """Return whether an answer belongs to this request and to no other."""
 
     @abstractmethod
     def read_answer(self, head: ResponseHead) -> EndpointAnswer:
@@ -108,17 +108,17 @@
 
     @abstractmethod
     def read_notice(self, head: ResponseHead) -> EndpointNotice:
-        """Decode what an endpoint asks beside its answer."""
+        """Decode the notice of an endpoint that accompanies its answer."""
 
     @abstractmethod
     def answer_headers(self, head: ResponseHead) -> Headers:
-        """Return the endpoint's headers that the caller gets."""
+        """Return those of the endpoint's headers that are forwarded to the caller."""
 
     @abstractmethod
     def own_headers(
         self, request: CallerRequest | None, retry_after: float | None
     ) -> Headers:
-        """Return the headers of an answer that the gateway gives itself."""
+        """Return the headers of an answer that the gateway generates itself."""
 
 
 class GenerationMover(ABC):
@@ -134,30 +134,31 @@
         *,
         is_last: bool,
     ) -> MoveResult | None:
-        """Copy what is new; with `is_last`, the run stops first.
+        """Copy the memory that is new; with `is_last`, stop the run first.
 
-        Return None when it can't be moved. Raise `ExchangeBrokenError`.
+        Return None if the generation can't be moved. Raise `ExchangeBrokenError`.
         """
 
     @abstractmethod
     async def release(self, connection: ClientConnection, copy: MemoryCopy) -> None:
-        """Free a copy that won't be used."""
+        """Free a copy that will not be used."""
 
 
 class EndpointReports(ABC):
-    """What endpoints say of themselves when they are asked."""
+    """Probes endpoints for reports about themselves."""
 
     @abstractmethod
     async def ask(
         self, connection: ClientConnection, address: Address
     ) -> EndpointReport:
-        """Ask an endpoint for its report; raise `ExchangeBrokenError`."""
+        """Request an endpoint's report; raise `ExchangeBrokenError`."""
 
 
 @dataclass(frozen=True)
 class EndpointChange:
-    """An endpoint that was added or changed; `endpoint` is None if it is gone, or if
-    its entry can't be read.
+    """An endpoint that was added or changed.
+
+    `endpoint` is None if its entry was removed or can't be read.
     """
 
     name: str
@@ -165,19 +166,19 @@
 
 
 class StoreFeed(ABC):
-    """Something that is followed in the platform's store.
+    """A watched part of the platform's store.
 
-    Reads raise `PlatformUnavailableError` when the store doesn't answer.
+    Reads raise `PlatformUnavailableError` if the store doesn't answer.
     """
 
     @property
     @abstractmethod
     def heard_at(self) -> float:
-        """When something of an answer came last, by trio's clock."""
+        """When bytes of an answer were last received, by trio's clock."""
 
     @abstractmethod
     def take_era_finding(self) -> str:
-        """Return what was wrong with the era of answers, each fault once."""
+        """Return what was wrong with the era of answers, each fault only once."""
 
     @abstractmethod
     async def close(self) -> None:
@@ -185,7 +186,7 @@
 
 
 class ConfigurationFeed(StoreFeed):
-    """The operators' configuration; raises `InvalidObjectError` for a faulty one."""
+    """The operators' configuration; raises `InvalidObjectError` if it is invalid."""
 
     @abstractmethod
     async def read(self) -> tuple[Document | None, StoreRevision]:
@@ -199,19 +200,19 @@
 
     @abstractmethod
     def decode_part(self, part: DocumentPart) -> ConfigurationPiece:
-        """Decode one part of a document."""
+        """Decode one chunk of a document."""
 
     @abstractmethod
     def join(self, pieces: Iterable[ConfigurationPiece]) -> ServingConfiguration:
-        """Join the decoded parts of a whole document."""
+        """Join the decoded chunks of a complete document."""
 
 
 class DrainFeed(StoreFeed):
-    """The data halls that are to get nothing new."""
+    """The drained data halls, which get no new work."""
 
     @abstractmethod
     async def read(self) -> DrainedHalls:
-        """Return the data halls that are drained."""
+        """Return the drained data halls."""
 
     @abstractmethod
     async def changes(self, revision: StoreRevision, wait: float) -> DrainedHalls:
@@ -219,7 +220,7 @@
 
     @abstractmethod
     def go_on_from(self, drained: DrainedHalls) -> None:
-        """Take what peers know, to watch for changes after it."""
+        """Continue from the view of a peer, to watch for later changes."""
 
 
 class EndpointFeed(StoreFeed):
@@ -237,4 +238,4 @@
 
     @abstractmethod
     def take_findings(self) -> list[str]:
-        """Return what was wrong with entries since the last call."""
+        """Return the errors found in entries since the last call."""
