--- a/features/ingress_calls.feature
+++ b/features/ingress_calls.feature
@@ -1,11 +1,11 @@
 Feature: Plain requests through a gateway of the platform
 
   @own_whole_answer @not_run_means_not_run @at_most_once
-  Scenario Outline: a <kind> request at endpoints of which the first <fault>
-    Given endpoints of the desk whose faults are "<fault>"
+  Scenario Outline: a <kind> request to endpoints with the faults: <fault>
+    Given desk endpoints with the faults "<fault>"
     When a caller sends a "<kind>" request
     Then its status is <status> and it ran <runs> times
-    And what the caller got is true
+    And the headers and the body of the answer match its status
 
     Examples:
       | kind       | fault                     | status | runs |
@@ -35,10 +35,10 @@
       | repeatable | unframed and reset        | 200    | 2    |
 
   @own_whole_answer
-  Scenario Outline: what follows on a connection after a first answer that <fault>
-    Given endpoints of the desk whose faults are "<fault>"
+  Scenario Outline: requests that follow a faulty answer on the same connection: <fault>
+    Given desk endpoints with the faults "<fault>"
     When a caller sends 6 "once" requests one after the other
-    Then each got its own whole answer or a failure
+    Then each gets its own complete answer, except for at most one 502
 
     Examples:
       | fault               |
@@ -48,14 +48,14 @@
       | short body          |
       | garbage             |
 
-  Scenario: an answer that comes before a long body was read
-    Given endpoints of the desk whose faults are "early"
+  Scenario: an endpoint that answers before it has read a long body
+    Given desk endpoints with the faults "early"
     When a caller sends a "once" request of 60000 bytes
     Then its status is 413
-    And the next request of the same caller runs whole
+    And the next request of the same caller succeeds
 
   @not_run_means_not_run
-  Scenario Outline: a faulty request: <fault>
+  Scenario Outline: a request that is refused: <fault>
     Given a gateway before sound endpoints
     When a caller sends the faulty request "<fault>"
     Then its status is <status> and it ran 0 times
@@ -76,16 +76,16 @@
       | unknown key       | 401    |
       | no key            | 401    |
 
-  Scenario: headers of the system and of the connection
+  Scenario: headers that only the gateway may set, and hop-by-hop headers
     Given a gateway before sound endpoints
-    When a caller sends headers that are the system's to set
-    Then the endpoint gets none of them as the caller sent it
-    And the endpoint gets the account, its own identity and the time that is left
+    When a caller sends headers that only the gateway may set
+    Then the endpoint gets none of them with the caller's value
+    And the endpoint gets the account, its own identity and the remaining time
 
   @not_run_means_not_run
-  Scenario Outline: the process stands still past a <kind> request's time
+  Scenario Outline: the process is suspended past the deadline of a <kind> request
     Given a gateway before sound endpoints
-    When a caller sends a "<kind>" request and the process stands still
+    When a caller sends a "<kind>" request and the process is suspended
     Then its status is 503 and it ran 0 times
 
     Examples:
@@ -95,24 +95,24 @@
       | stream     |
 
   Scenario: the metrics of a gateway
-    Given endpoints of the desk whose faults are "fails"
+    Given desk endpoints with the faults "fails"
     When a caller sends a "repeatable" request and the metrics are read
-    Then they count the retry, and tell the configuration, the endpoints and the budget
+    Then they show the retry, the configuration, the endpoints and the retry budget
 
-  Scenario: an endpoint whose address another one has taken
+  Scenario: endpoints whose addresses are now used by others
     Given a gateway before sound endpoints
-    When the first desk endpoint is another one than listed
-    Then a "once" request runs once at the other
+    When two desk endpoints are replaced by others at the same addresses
+    Then a "once" request runs once, at the third endpoint
 
-  Scenario: a caller that leaves midway
-    Given endpoints of the desk whose faults are "silent"
-    When a caller leaves after 0.1 seconds
+  Scenario: a caller that closes its connection before the answer
+    Given desk endpoints with the faults "silent"
+    When a caller closes its connection after 0.1 seconds
     Then the endpoint's connection is closed within 0.3 seconds
 
-  Scenario Outline: whose fault a failing answer is: <faults>
-    Given endpoints of the desk whose faults are "<faults>"
-    When a caller sends a "<kind>" request and the endpoints are judged
-    Then <number> endpoints count as failing
+  Scenario Outline: failures that count against endpoints: <faults>
+    Given desk endpoints with the faults "<faults>"
+    When a caller sends a "<kind>" request and the failure rates are read
+    Then <number> endpoints have a failure rate above 0
 
     Examples:
       | kind       | faults       | number |
@@ -121,7 +121,7 @@
       | repeatable | fails, reset | 2      |
       | once       | fails        | 1      |
 
-  Scenario: an endpoint that fails is left out by all gateways together
-    Given 2 gateways before one failing and two sound endpoints
+  Scenario: an endpoint that fails at one gateway is ejected by all
+    Given 2 gateways before one failing and two healthy endpoints
     When 4 "once" requests have failed at the first gateway
-    Then the second gateway leaves the failing endpoint out, and no other
+    Then the second gateway ejects the failing endpoint and no other
--- a/features/ingress_start.feature
+++ b/features/ingress_start.feature
@@ -2,13 +2,13 @@
 
   @planned_stop_cuts_nothing
   Scenario: a caller that connects while the gateway starts is served
-    Given a gateway that starts, its port already taken
+    Given a starting gateway whose port is already open
     When a caller sends a "once" request before it serves
     Then its status is 200 and it ran 1 times
 
   @not_run_means_not_run
   Scenario Outline: a caller that closed its connection before the gateway served
-    Given a gateway that starts, its port already taken
+    Given a starting gateway whose port is already open
     When <callers> callers send a "<kind>" request before it serves and close
     Then nothing ran and nothing reached an endpoint
 
@@ -19,39 +19,39 @@
       | stream     | 8       |
 
   Scenario: callers wait for the first configuration
-    Given a gateway that starts, its port already taken
-    And a configuration that comes after the start
+    Given a starting gateway whose port is already open
+    And a configuration that is stored after the start
     When a caller sends a "once" request before it serves
     Then its status is 200 and it ran 1 times
 
-  Scenario: a gateway that says it is ready takes connections at once
-    Given a gateway that starts, its port already taken
-    And a configuration that comes after the start
-    When it says that it is ready
+  Scenario: a gateway that reports ready accepts connections at once
+    Given a starting gateway whose port is already open
+    And a configuration that is stored after the start
+    When it reports that it is ready
     Then 8 new connections are served
 
-  Scenario: callers don't wait for a store that gives no configuration
-    Given a gateway that starts, its port already taken
-    And no configuration, and callers that wait 0.01 s for it
+  Scenario: callers wait only briefly for a store without a configuration
+    Given a starting gateway whose port is already open
+    And no configuration, and callers that wait at most 0.01 s for it
     When a caller sends a "once" request before it serves
     Then its status is 503 and it ran 0 times
-    And what the caller got is true
+    And the headers and the body of the answer match its status
 
-  Scenario Outline: settings that name no port to take: <fault>
+  Scenario Outline: settings without a usable port: <fault>
     Given a settings file with "<fault>"
-    When a process takes the callers' port at its start
-    Then no port is taken
+    When a process opens the callers' port at its start
+    Then no port is opened
 
     Examples:
-      | fault         |
-      | no file       |
-      | no address    |
-      | no number     |
-      | a taken port  |
-      | bytes, no text |
+      | fault                  |
+      | no file                |
+      | no address             |
+      | no port number         |
+      | a port in use          |
+      | bytes that are no text |
 
   @not_run_means_not_run
-  Scenario: all gateways stop at once, and refuse what may last long
+  Scenario: all gateways stop at once and refuse a long stream
     Given 2 gateways before sound endpoints
-    When both have been stopping for some seconds and a long stream is asked for
-    Then it is refused with the time at which one is back
+    When both have been stopping for some seconds and a caller requests a long stream
+    Then it is refused with the time after which a gateway serves again
--- a/features/steps/ingress_call_steps.py
+++ b/features/steps/ingress_call_steps.py
@@ -19,18 +19,18 @@
 STILL_SECONDS = 0.2
 
 
-@given('endpoints of the desk whose faults are "{faults}"')
+@given('desk endpoints with the faults "{faults}"')
 def given_faults(context, faults):
     context.ingress = IngressWorld()
     names = [name.strip() for name in faults.split(",")]
     context.ingress.shared_faults = names
     context.ingress.add_endpoints("desk", 3)
-    # One list for all: the faults come in the order of the attempts.
+    # All endpoints share one list: faults occur in the order of the attempts.
     for endpoint in context.ingress.endpoints:
         endpoint.faults = names
 
 
-@given('endpoints of the desk whose faults are ""')
+@given('desk endpoints with the faults ""')
 def given_no_faults(context):
     given_sound(context)
 
@@ -70,7 +70,7 @@
     assert total == runs, total
 
 
-@then("what the caller got is true")
+@then("the headers and the body of the answer match its status")
 def check_true(context):
     reply = context.reply
     if reply.status == 200:
@@ -84,7 +84,7 @@
     assert reply.headers["attempt-id"] == "abc"
 
 
-@then("the next request of the same caller runs whole")
+@then("the next request of the same caller succeeds")
 def check_later(context):
     assert context.later.status == 200, vars(context.later)
 
@@ -99,7 +99,7 @@
     context.ingress.run(script)
 
 
-@then("each got its own whole answer or a failure")
+@then("each gets its own complete answer, except for at most one 502")
 def check_own(context):
     for number, reply in enumerate(context.replies):
         if reply.status == 200:
@@ -158,7 +158,7 @@
     assert context.later.status == 200
 
 
-@when('a caller sends a "{kind}" request and the process stands still')
+@when('a caller sends a "{kind}" request and the process is suspended')
 def stand_still(context, kind):
     async def script(world):
         _, daemon = world.gateways[0]
@@ -191,7 +191,7 @@
     context.ingress.run(script)
 
 
-@then("they count the retry, and tell the configuration, the endpoints and the budget")
+@then("they show the retry, the configuration, the endpoints and the retry budget")
 def check_metrics(context):
     lines = dict(
         line.rsplit(" ", 1)
@@ -217,7 +217,7 @@
 }
 
 
-@when("a caller sends headers that are the system's to set")
+@when("a caller sends headers that only the gateway may set")
 def send_system_headers(context):
     async def script(world):
         headers = [
@@ -234,7 +234,7 @@
     context.headers = context.ingress.arrivals()[0].headers
 
 
-@then("the endpoint gets none of them as the caller sent it")
+@then("the endpoint gets none of them with the caller's value")
 def check_stripped(context):
     for name, value in SYSTEM_HEADERS.items():
         assert context.headers.get(name) != value, name
@@ -244,14 +244,14 @@
     assert context.headers["attempt-id"]
 
 
-@then("the endpoint gets the account, its own identity and the time that is left")
+@then("the endpoint gets the account, its own identity and the remaining time")
 def check_set(context):
     assert context.headers["tenant"] == "surulere"
     assert context.headers["expected-instance"].startswith("i-")
     assert 0 < int(context.headers["deadline-ms"]) <= TIMEOUT_MS
 
 
-@when("the first desk endpoint is another one than listed")
+@when("two desk endpoints are replaced by others at the same addresses")
 def replace_endpoint(context):
     async def script(world):
         for endpoint in world.endpoints[:2]:
@@ -261,13 +261,13 @@
     context.ingress.run(script)
 
 
-@then('a "once" request runs once at the other')
+@then('a "once" request runs once, at the third endpoint')
 def check_other(context):
     assert context.reply.status == 200
     assert [e.runs["abc"] for e in context.ingress.endpoints[:3]] == [0, 0, 1]
 
 
-@when("a caller leaves after {seconds:f} seconds")
+@when("a caller closes its connection after {seconds:f} seconds")
 def leave_midway(context, seconds):
     async def script(world):
         with trio.move_on_after(seconds):
@@ -285,7 +285,7 @@
     assert not context.too_late
 
 
-@when('a caller sends a "{kind}" request and the endpoints are judged')
+@when('a caller sends a "{kind}" request and the failure rates are read')
 def send_and_judge(context, kind):
     async def script(world):
         await world.call(kind, request="abc")
@@ -296,12 +296,12 @@
     context.ingress.run(script)
 
 
-@then("{number:d} endpoints count as failing")
+@then("{number:d} endpoints have a failure rate above 0")
 def check_failing(context, number):
     assert context.failing == number, context.failing
 
 
-@given("2 gateways before one failing and two sound endpoints")
+@given("2 gateways before one failing and two healthy endpoints")
 def given_failing(context):
     world = context.ingress = IngressWorld()
     world._start_gateways = 2
@@ -317,7 +317,7 @@
         while failed < count:
             failed += (await world.call(kind)).status == 500
             _, first = world.gateways[0]
-            # Only so is the failing endpoint asked again before it is told of.
+            # Clears the ejection, so that this gateway chooses the endpoint again.
             first._state.health.forget(world.endpoints[0].identity)
         _, second = world.gateways[1]
         health = second._state.health
@@ -329,6 +329,6 @@
     context.ingress.run(script)
 
 
-@then("the second gateway leaves the failing endpoint out, and no other")
+@then("the second gateway ejects the failing endpoint and no other")
 def check_left_out(context):
     assert context.left_out == [True, False, False], context.left_out
--- a/features/steps/ingress_core_steps.py
+++ b/features/steps/ingress_core_steps.py
@@ -1,4 +1,4 @@
-"""Steps for delivery, parsers and the log."""
+"""Steps for the delivery of events, parsers and the log."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 )
 
 
-@then("each event is let through once and in order, whatever the parts")
+@then("each event is delivered once and in order, whatever the chunks")
 def check_delivery(context):
     @checked(st.integers(0, 10_000))
     def check(seed):
@@ -50,7 +50,7 @@
                 else b"id: %d\ndata: x\n\n" % n
                 for n in range(first, last + 1)
             )
-            # The endpoint breaks off, perhaps inside an event.
+            # The answer breaks off, perhaps within an event.
             data = data[: random.randrange(len(data) + 1)]
             splitter = EventSplitter()
             while data:
@@ -62,7 +62,7 @@
 
 
 def decode_configuration(spec):
-    """Decode a configuration as the gateway does, part by part."""
+    """Decode a configuration as the gateway does, chunk by chunk."""
     join_decoded(decode_piece(orjson.loads(part.data)) for part in split(spec))
 
 
@@ -73,7 +73,7 @@
 
 
 PARSERS = {
-    "a note of load": (
+    "a load update": (
         LoadNote.decode,
         st.binary() | JSON_VALUES.map(lambda value: MARK + orjson.dumps(value)),
     ),
@@ -123,14 +123,14 @@
     os.close(writing)
 
 
-@then("no write waited, memory is bounded, and the count of omitted lines is told")
+@then("no write blocks, memory is bounded, and omitted lines are counted")
 def check_log(context):
     assert context.buffered <= MOST_BUFFERED_BYTES
     assert context.omitted > 0
     assert orjson.loads(context.first)["request"] == "r0"
 
 
-@when("{count:d} lines of {size:d} bytes are written out together")
+@when("{count:d} lines of {size:d} bytes are flushed together")
 def write_together(context, count, size):
     context.written = []
 
@@ -149,7 +149,7 @@
     assert b"".join(context.written).count(b"\n") == count
 
 
-@then("each write is of whole lines, and at most as long as a pipe takes at once")
+@then("each write has complete lines and at most PIPE_BUF bytes")
 def check_writes(context):
     assert len(context.written) > 1
     for data in context.written:
--- a/features/steps/ingress_start_steps.py
+++ b/features/steps/ingress_start_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the start of a gateway: the callers' port is taken before it serves."""
+"""Steps for the start of a gateway, whose callers' port is open before it serves."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 from piershore.platform.settings_lines import PATH_VARIABLE
 
 UNREAD_SECONDS = 0.05
-"""How long a request lies unread before the gateway starts."""
+"""How long a request stays unread before the gateway starts."""
 SETTLED_SECONDS = 0.3
-"""In which a request that is sent on reaches its endpoint."""
+"""Time in which a forwarded request reaches its endpoint."""
 LONG_PATIENCE_SECONDS = 30.0
 HOST = "127.0.0.1"
 
 
-@given("a gateway that starts, its port already taken")
+@given("a starting gateway whose port is already open")
 def given_starting(context):
     world = context.ingress = IngressWorld()
     world.add_endpoints("desk", 3)
@@ -39,20 +39,20 @@
     context.late_configuration = None
 
 
-@given("a configuration that comes after the start")
+@given("a configuration that is stored after the start")
 def given_late_configuration(context):
     context.late_configuration = context.ingress.configuration
     context.ingress.configuration = None
 
 
-@given("no configuration, and callers that wait {seconds:g} s for it")
+@given("no configuration, and callers that wait at most {seconds:g} s for it")
 def given_no_configuration(context, seconds):
     context.ingress.configuration = None
     context.patience = seconds
 
 
 async def _start(context, world, settings):
-    """Start the gateway whose port was taken."""
+    """Start the gateway whose port is already open."""
     with patch.object(listeners, "READY_PATIENCE_SECONDS", context.patience):
         await trio.sleep(UNREAD_SECONDS)
         await world.start_gateway(0, settings=settings, wait=False)
@@ -96,7 +96,7 @@
     context.ingress.run(script)
 
 
-@when("it says that it is ready")
+@when("it reports that it is ready")
 def wait_ready(context):
     async def script(world):
         settings = world.settings(0)
@@ -156,24 +156,24 @@
     context.holder = None
     lines = {
         "no address": b"node_name=front-1\n",
-        "no number": b"listen.front=127.0.0.1:none\n",
-        "a taken port": f"listen.front={context.address}\n".encode(),
-        "bytes, no text": b"\xff\xfe\n",
+        "no port number": b"listen.front=127.0.0.1:none\n",
+        "a port in use": f"listen.front={context.address}\n".encode(),
+        "bytes that are no text": b"\xff\xfe\n",
     }
     if fault in lines:
         context.settings_file.write_bytes(lines[fault])
-    if fault == "a taken port":
+    if fault == "a port in use":
         context.holder = socket.create_server((HOST, context.address.port))
 
 
-@when("a process takes the callers' port at its start")
+@when("a process opens the callers' port at its start")
 def take_port(context):
     variables = {PATH_VARIABLE: str(context.settings_file)}
     with patch.dict("os.environ", variables):
         open_callers_port()
 
 
-@then("no port is taken")
+@then("no port is opened")
 def check_no_port(context):
     assert take_over(HOST, context.address.port) is None
     if context.holder is not None:
@@ -183,7 +183,7 @@
 STOPPING_SECONDS = 3.0
 
 
-@when("both have been stopping for some seconds and a long stream is asked for")
+@when("both have been stopping for some seconds and a caller requests a long stream")
 def ask_while_stopping(context):
     async def script(world):
         await wait_for_peers(world)
@@ -200,7 +200,7 @@
     context.ingress.run(script)
 
 
-@then("it is refused with the time at which one is back")
+@then("it is refused with the time after which a gateway serves again")
 def check_told_return(context):
     assert context.reply.status == 503, vars(context.reply)
     told = float(context.reply.headers["retry-after"])
--- a/features/support/gateway_states.py
+++ b/features/support/gateway_states.py
@@ -1,4 +1,4 @@
-"""What the gateways of a scenario know."""
+"""Access to the state of the gateways in a scenario."""
 
 from __future__ import annotations
 
--- a/features/support/ingress_world.py
+++ b/features/support/ingress_world.py
@@ -1,4 +1,4 @@
-"""A gateway of the platform before stand-ins, all in one event loop."""
+"""Gateways of the platform and stand-ins for store and endpoints, in one event loop."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 KEY = "key-1"
 ACCOUNT = "surulere"
 TIMEOUT_MS = 2_000
-"""Longer than a busy machine may keep the event loop waiting."""
+"""Longer than a busy machine may delay the event loop."""
 STREAM_TIMEOUT_MS = 60_000
-"""No scenario is about the end of a stream's time; on a busy machine a stream of some
-hundred events may take ten times its usual 2 s."""
+"""No scenario tests the timeout of a stream; on a busy machine a stream of a few hundred
+events may take ten times its usual 2 s."""
 LONGEST_SCRIPT_SECONDS = 90
 PATHS = {"once": "/once/", "repeatable": "/again/", "stream": "/stream/"}
 KINDS = {"once": "unsafe", "repeatable": "safe", "stream": "streaming"}
@@ -92,7 +92,7 @@
 
 
 class Reply:
-    """What a caller got; `events` are the numbers of a stream's events."""
+    """An answer as a caller received it; `events` are the event numbers of a stream."""
 
     def __init__(self, status, headers, body, is_whole):
         self.status = status
@@ -131,7 +131,7 @@
             self.endpoints.append(endpoint)
 
     def run(self, script):
-        """Play `script` with everything started."""
+        """Start everything and run `script`."""
         trio.run(self._run, script, clock=self.clock)
 
     async def _run(self, script):
