--- a/src/piershore/ingress/gateway_state.py
+++ b/src/piershore/ingress/gateway_state.py
@@ -63,7 +63,7 @@
 
     `announce` soon reports the configuration to all peers, `announce_failure` a failed
     attempt, and `announce_load` new work at an endpoint to the peers that share it.
-    `seconds_until_peer_accepts` returns in how many seconds another gateway accepts a
+    `seconds_until_accepted` returns in how many seconds another gateway accepts a
     request that this one refuses because it leaves. `leaving_since` is when the process
     was told to stop, `stops_at` when it ends at the latest.
     """
