--- a/src/piershore/ingress/streams/__init__.py
+++ b/src/piershore/ingress/streams/__init__.py
@@ -1,1 +1,1 @@
-"""Streams: opened, relayed, and continued at another endpoint."""
+"""Open streams, relay their events and continue them at other endpoints."""
--- a/src/piershore/ingress/streams/silence_watch.py
+++ b/src/piershore/ingress/streams/silence_watch.py
@@ -1,4 +1,4 @@
-"""Streams whose endpoint has fallen silent, judged by the endpoint's own pace."""
+"""Detection of streams that pause for longer than is usual at their endpoint."""
 
 from __future__ import annotations
 
@@ -26,20 +26,21 @@
 from piershore.telemetry.events import StreamSilent
 
 CHECK_SECONDS = 0.1
-"""Time between two looks at all streams; a look takes some microseconds a stream."""
+"""Interval between checks of all streams; a check takes a few microseconds a stream."""
 SHORTEST_SILENCE_SECONDS = 0.3
-"""Shorter pauses come when prompts are read beside the stream."""
+"""Shorter pauses occur when the engine reads other prompts beside the stream."""
 ANSWER_SECONDS = 0.5
-"""Longest wait for a report, which takes some ms; twice a lost packet's repetition."""
+"""Timeout for a report, which takes a few ms: twice the retransmission time of a lost
+packet."""
 ASK_AGAIN_SECONDS = 1.0
-"""Time between questions to an endpoint that answers: each has a price."""
+"""Interval between probes of an endpoint that answers: each probe has a cost."""
 IDLE_SECONDS = 1.0
-"""Longest rest of a connection that a question takes over."""
+"""Maximum idle time of a pooled connection that a probe reuses."""
 
 
 @dataclass
 class _Inquiry:
-    """The questions to one endpoint; the next may be asked at `next_at`."""
+    """The probes of one endpoint; the next one may be sent at `next_at`."""
 
     is_asking: bool = False
     unanswered: int = 0
@@ -47,7 +48,10 @@
 
 
 class SilenceWatch:
-    """Asks endpoints that have fallen silent, and lets their streams go on."""
+    """Probes endpoints that have fallen silent, and continues their streams elsewhere.
+
+    Streams stay where they are while their endpoint works or there is no other place.
+    """
 
     def __init__(
         self,
@@ -64,7 +68,7 @@
         self._awake_since = float("-inf")
 
     async def run(self) -> None:
-        """Look at all streams from time to time, for ever."""
+        """Check all streams periodically, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 due = trio.current_time() + CHECK_SECONDS
@@ -76,7 +80,7 @@
                     nursery.start_soon(self._inquire, streams[0].endpoint)
 
     def _silent_by_endpoint(self, now: float) -> Iterator[list[LiveStream]]:
-        """Yield the silent streams of each endpoint that may be asked now."""
+        """Yield the silent streams of each endpoint that may be probed now."""
         silent = defaultdict(list)
         for stream in self._live:
             if self._is_silent(stream, now):
@@ -125,10 +129,10 @@
                 await self._judge(stream, report, inquiry.unanswered)
 
     async def _leave_out(self, endpoint: Endpoint, now: float) -> None:
-        """Give an endpoint that doesn't answer no new work for now.
+        """Eject an endpoint that doesn't answer and drop its pooled connections.
 
-        A request on a kept connection would wait there for its whole time; a new
-        connection shows first whether anybody is there.
+        On a pooled connection, a request would wait until its deadline; opening a new
+        one shows first whether the endpoint can be reached.
         """
         if self._state.health.note_silence(endpoint.identity, now):
             note_ejection(self._state, endpoint, "silence")
@@ -137,8 +141,8 @@
     async def _ask(self, endpoint: Endpoint) -> EndpointReport | None:
         """Return the endpoint's report; None if it doesn't answer in time.
 
-        An endpoint that refuses or breaks the exchange is there: its streams break by
-        themselves if it has lost them.
+        An endpoint that refuses the connection or breaks the exchange is reachable: if
+        it has lost its streams, their connections break without further action.
         """
         with trio.move_on_after(ANSWER_SECONDS):
             try:
@@ -184,9 +188,10 @@
             stream.give_up_endpoint()
 
     async def _can_go_on_elsewhere(self, stream: LiveStream) -> bool:
-        """Tell whether the stream has another place that can be reached.
+        """Return whether the stream can continue at an endpoint that can be reached.
 
-        A cut that hides its endpoint may hide its backup too, and may heal.
+        A network partition that hides its endpoint may hide its backup too, and may
+        heal.
         """
         if stream.exchange.route.is_resumable:
             return True
@@ -196,4 +201,4 @@
 
 
 NOTHING_TOLD = EndpointReport(is_leaving=False, made_events={})
-"""An endpoint that is there, but told nothing of its generations."""
+"""Stands for an endpoint that is reachable but reported nothing of its generations."""
--- a/src/piershore/ingress/streams/stream_continuation.py
+++ b/src/piershore/ingress/streams/stream_continuation.py
@@ -1,4 +1,4 @@
-"""Where a stream goes on after its endpoint stopped, was given up or broke."""
+"""Continuation of a stream whose endpoint stopped it, failed or was given up."""
 
 from __future__ import annotations
 
@@ -18,16 +18,20 @@
 from piershore.telemetry.events import StreamContinued
 
 MOST_RUNS_ANEW = 2
-"""Endpoints that may run a resumable stream anew after one break."""
+"""Maximum number of endpoints that run a resumable stream again after one break."""
 LONGEST_WAIT_SECONDS = 1.0
-"""Longest wait for an endpoint that rests or is limited: callers give a stream up after
-a pause of 2 s, and the copy lies nowhere else."""
+"""Maximum wait for an endpoint that has asked for backoff or is rate limited: callers
+give up a stream after a pause of 2 s, and the copy is stored nowhere else."""
 HANDOVER_SECONDS = 3.0
-"""Longest wait for a move that was under way when the old stream ended."""
+"""Maximum wait for a move that was in progress when the old stream ended."""
 
 
 class StreamContinuation:
-    """Continues a stream from a copy of its memory."""
+    """Continues a stream at another endpoint.
+
+    The endpoint gets a copy of the stream's memory; a resumable stream may also be run
+    again from its start.
+    """
 
     def __init__(
         self,
@@ -43,7 +47,10 @@
         self.failure = ""
 
     async def find(self) -> EndpointAttempt | None:
-        """Return the attempt that goes on; None (and `failure`) if there is none."""
+        """Return the attempt that continues the stream.
+
+        Return None if there is none, and set `failure`.
+        """
         stream = self._stream
         if stream.handover is not None:
             attempt = await self._go_on(stream.handover)
@@ -60,7 +67,7 @@
         return None
 
     async def _run_anew(self) -> EndpointAttempt | None:
-        """Run a resumable stream again elsewhere, from its last event on."""
+        """Run a resumable stream again elsewhere; it resumes after its last event."""
         exchange = self._stream.exchange
         service = exchange.route.service_for(exchange.identity)
         tried = [self._stream.endpoint.identity]
@@ -74,11 +81,11 @@
             if attempt is not None:
                 return attempt
             tried.append(endpoint.identity)
-        self.failure += "; no endpoint ran it anew"
+        self.failure += "; no endpoint ran it again"
         return None
 
     async def _go_on(self, handover: Handover) -> EndpointAttempt | None:
-        """Continue at the target, or else at the source that stopped."""
+        """Continue at the target, or else at the source that stopped the run."""
         if handover.copy is not None:
             attempt = await self._resume_at(handover.target, handover.copy)
             if attempt is not None:
@@ -88,7 +95,7 @@
         with trio.move_on_after(HANDOVER_SECONDS):
             await handover.is_settled.wait()
         if handover.copy is None:
-            # Sent without a copy the request would run a second time.
+            # Without a copy, the endpoint would run the request a second time.
             return None
         for endpoint in handover.places(trio.current_time()):
             attempt = await self._resume_at(endpoint, handover.copy)
@@ -99,7 +106,7 @@
     async def _resume_at(
         self, endpoint: Endpoint, copy: MemoryCopy | None
     ) -> EndpointAttempt | None:
-        """Send the request with its last event, and the copy to go on from."""
+        """Send the request with its last event ID and the copy to continue from."""
         if self._state.directory.is_drained(endpoint):
             return None
         await self._wait_for(endpoint)
@@ -133,13 +140,16 @@
         return attempt
 
     async def _wait_for(self, endpoint: Endpoint) -> None:
-        """Wait until an endpoint takes work, if that is soon; else nothing is sent."""
+        """Wait until an endpoint accepts work, if that is soon.
+
+        Otherwise return at once: the attempt then fails before the request is sent.
+        """
         left = self._state.placement.seconds_left(endpoint, trio.current_time())
         if left <= LONGEST_WAIT_SECONDS:
             await trio.sleep(left)
 
     def _settle_at(self, endpoint: Endpoint, backup: Endpoint | None) -> None:
-        """Note that the stream runs at another endpoint now."""
+        """Record that the stream now runs at another endpoint."""
         stream = self._stream
         self._memory.place(endpoint)
         self._memory.back_up(backup)
--- a/src/piershore/ingress/streams/stream_forwarder.py
+++ b/src/piershore/ingress/streams/stream_forwarder.py
@@ -1,4 +1,4 @@
-"""Streams: events passed on as they come, over one endpoint or several."""
+"""Forwarding of requests that are answered by a stream of events."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from piershore.telemetry.events import RequestAnswered, StreamBrokenOff
 
 UNKNOWN_SIZE = GenerationSize(1_000, 1_000)
-"""Tokens to reckon with when a request doesn't tell its size."""
+"""Size assumed for a request that doesn't state its own, in tokens."""
 
 
 class StreamForwarder:
-    """Serves requests that are answered by a stream of events."""
+    """Serves streams: relays their events from one endpoint or several in turn."""
 
     def __init__(
         self, state: GatewayState, live: LiveStreams, moves: MoveCoordinator
@@ -81,7 +81,7 @@
             self._live.remove(stream)
 
     async def _pass_failure(self, exchange: Exchange, attempt: EndpointAttempt) -> None:
-        """Pass an endpoint's own failure on as it is."""
+        """Forward an endpoint's error response unchanged."""
         try:
             body = await attempt.read_body()
         except AttemptFailedError as error:
@@ -99,9 +99,9 @@
     async def _relay_all(
         self, stream: LiveStream, memory: StreamMemory, attempt: EndpointAttempt
     ) -> None:
-        """Relay from one endpoint after the other until the stream is whole.
+        """Relay events from one endpoint after the other until the stream is complete.
 
-        Raise `AttemptFailedError` when it can't go on.
+        Raise `AttemptFailedError` if it can't be continued.
         """
         relay = StreamRelay(self._state, stream)
         while (reason := await relay.run(attempt)) is not None:
@@ -111,7 +111,7 @@
                 outcome = AttemptOutcome.BROKEN_OFF
                 raise AttemptFailedError(outcome, f"{reason}{way.failure}")
         if not stream.exchange.connection.response_started:
-            raise AttemptFailedError(AttemptOutcome.BROKEN_OFF, "no event came")
+            raise AttemptFailedError(AttemptOutcome.BROKEN_OFF, "no event was received")
         attempt.record_served()
         await stream.exchange.connection.finish()
 
@@ -144,7 +144,7 @@
         )
 
     def _break_off(self, stream: LiveStream, reason: str) -> None:
-        """End the stream so that its caller sees that it isn't whole."""
+        """End the stream in a way that shows its caller that it is incomplete."""
         exchange = stream.exchange
         ingress_metrics.BROKEN_STREAMS.labels("endpoint_failed").inc()
         judge_failing(self._state, stream.endpoint)
--- a/src/piershore/ingress/streams/stream_memory.py
+++ b/src/piershore/ingress/streams/stream_memory.py
@@ -1,4 +1,4 @@
-"""Where a generation takes memory: at its endpoint and at its backup."""
+"""Placement of one generation and its backup in the fleet."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 class StreamMemory:
-    """Counts one generation's work and its backup in the load of the fleet."""
+    """Counts a generation at its endpoint and its backup in the fleet's load.
+
+    Also chooses both endpoints, by the memory that the generation needs.
+    """
 
     def __init__(
         self, state: GatewayState, exchange: Exchange, work: GenerationWork
@@ -28,11 +31,11 @@
 
     @property
     def backup(self) -> Endpoint | None:
-        """Where the memory is copied as it grows."""
+        """The endpoint that the generation's memory is copied to as it grows."""
         return self._backup
 
     def place(self, endpoint: Endpoint | None) -> None:
-        """Count the work at an endpoint, and at no other."""
+        """Count the work at this endpoint only; at none if it is None."""
         load = self._state.fleet_load
         if self._endpoint is not None:
             load.remove(self._endpoint.identity, self.work)
@@ -42,7 +45,7 @@
         self._endpoint = endpoint
 
     def back_up(self, backup: Endpoint | None) -> None:
-        """Count the backup at an endpoint, and at no other."""
+        """Count the backup at this endpoint only; at none if it is None."""
         load = self._state.fleet_load
         if self._backup is not None:
             load.remove(self._backup.identity, self._backup_work)
@@ -51,12 +54,12 @@
         self._backup = backup
 
     def release(self) -> None:
-        """Count nothing any more."""
+        """Remove the work and its backup from the fleet's load."""
         self.place(None)
         self.back_up(None)
 
     def choose(self, service: str, excluded: list[str], now: float) -> Choice | None:
-        """Return the endpoint that suits the generation best."""
+        """Return the best endpoint for the generation, or None if there is none."""
         spec = self._exchange.configuration.services.get(service)
         placement = self._state.placement
         if spec is None or spec.engine is None:
@@ -66,13 +69,13 @@
         )
         if choice is None or has_memory(choice.load, self.work, spec.engine):
             return choice
-        # Nobody is refused while an endpoint beyond the subset has room.
+        # Don't refuse a request while an endpoint outside the subset has free memory.
         return placement.for_generation(
             service, self.work, spec.engine, now, excluded, anywhere=True
         )
 
     def fits(self, choice: Choice) -> bool:
-        """Tell whether the chosen endpoint has memory for the generation."""
+        """Return whether the chosen endpoint has memory for the generation."""
         if not self._state.uses(Mechanism.ADMISSION):
             return True
         spec = self._exchange.configuration.services.get(choice.endpoint.service)
@@ -81,7 +84,10 @@
         return has_memory(choice.load, self.work, spec.engine)
 
     def choose_backup(self, endpoint: Endpoint, now: float) -> Endpoint | None:
-        """Return where the memory is to be copied as it grows, if it should be."""
+        """Return the endpoint for a backup, or None if there should be none.
+
+        The generation's memory is copied to its backup as it grows.
+        """
         if not self._state.uses(Mechanism.BACKUPS):
             return None
         spec = self._exchange.configuration.services.get(endpoint.service)
@@ -90,7 +96,7 @@
         room = backup_room(load, self.work, engine) if engine else None
         if room is None:
             return None
-        # A limited endpoint might not take the stream when it must go on there.
+        # A rate-limited endpoint might reject the stream when it must continue there.
         excluded = [endpoint.identity, *self._state.limits.limited()]
         choice = self.choose(endpoint.service, excluded, now)
         if choice is None or not has_room(choice.load, self.work, engine, room):
--- a/src/piershore/ingress/streams/stream_opening.py
+++ b/src/piershore/ingress/streams/stream_opening.py
@@ -1,4 +1,4 @@
-"""The first endpoint of a stream, perhaps after others refused it."""
+"""Opening of a stream: attempts at endpoints until one answers."""
 
 from __future__ import annotations
 
@@ -30,12 +30,13 @@
 from piershore.telemetry import ingress_metrics
 
 IDLE_OF_STREAM_SECONDS = 1.0
-"""Longest rest of a connection that a stream takes over; as for calls that run
-only once."""
+"""Maximum idle time of a pooled connection that a stream reuses; the same as for calls
+that must run at most once."""
 COME_BACK_SPREAD = (0.75, 1.25)
-"""Parts of the projected time after which crowded callers come back."""
+"""Jitter for `Retry-After` when engines are overloaded: factors of the projected
+time."""
 COME_BACK_SECONDS = 0.4
-"""When a refused caller may find a place: a short generation's length."""
+"""Minimum `Retry-After` of other refusals: the duration of a short generation."""
 
 
 class StreamOpening:
@@ -52,11 +53,11 @@
 
     @property
     def attempts(self) -> int:
-        """Attempts so far, the one that answered included."""
+        """Number of attempts so far, including the one that was answered."""
         return len(self._outcomes) + 1
 
     async def open(self) -> EndpointAttempt:
-        """Return the attempt that is answered, or raise `RequestRefusedError`."""
+        """Return the attempt that was answered, or raise `RequestRefusedError`."""
         exchange = self._exchange
         service = exchange.route.service_for(exchange.identity)
         if service is None:
@@ -76,9 +77,9 @@
             self._check_may_go_on(service)
 
     async def _choose_with_room(self, service: str, tried: list[str]) -> Choice | None:
-        """Return a choice with memory; the last one if none has in time.
+        """Return a choice that has memory; without one in time, the last choice.
 
-        None means that there is no endpoint, or that none takes work in time.
+        None means that there is no endpoint, or that none accepts work in time.
         """
         wait = RoomWait(self._state.random)
         until = self._exchange.arrived
@@ -99,7 +100,7 @@
         return self._state.placement.service_seconds_left(service, now)
 
     def refusal(self, *, timed_out: bool = False) -> RequestRefusedError:
-        """Return the final answer when no endpoint gave one."""
+        """Return the refusal to answer with when no endpoint answered."""
         outcomes = list(self._outcomes)
         last = self._last_attempt
         if timed_out and last is not None and last.may_have_run:
@@ -113,9 +114,9 @@
         )
 
     def _crowded(self, choice: Choice) -> RequestRefusedError:
-        """Return the refusal when not even the best engine has memory left.
+        """Return the refusal when not even the best engine has enough memory.
 
-        The callers that are refused together come back one after the other.
+        Jitter spreads the retries of callers that are refused together.
         """
         if any(not outcome.proves_not_run for outcome in self._outcomes):
             return self.refusal()
--- a/src/piershore/ingress/streams/stream_relay.py
+++ b/src/piershore/ingress/streams/stream_relay.py
@@ -1,4 +1,4 @@
-"""The passing on of one endpoint's events."""
+"""Relaying of one endpoint's events to the caller."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from piershore.ingress.live_stream import LiveStream
 
 TOKENS_AN_EVENT = 4
-"""Tokens of one event, when the endpoint doesn't tell; only used for estimates."""
+"""Tokens assumed per event, as endpoints don't report them; used for estimates only."""
 
 
 class StreamRelay:
-    """Passes whole events on as they come, each once and in order."""
+    """Relays complete events as they arrive, each once and in order."""
 
     def __init__(self, state: GatewayState, stream: LiveStream) -> None:
         self._state = state
         self._stream = stream
 
     async def run(self, attempt: EndpointAttempt) -> str | None:
-        """Pass events on; return None when whole, or why the stream broke."""
+        """Relay all events; return None when complete, or why the stream broke."""
         splitter = EventSplitter()
         parts = attempt.read_parts()
         stream = self._stream
@@ -43,13 +43,13 @@
         if stream.handover is not None and stream.handover.run_stopped:
             return "the run was stopped for a move"
         if splitter.rest:
-            return "the last event was cut short"
+            return "the last event was truncated"
         return None
 
     async def _next_part(self, parts: AsyncIterator[bytes]) -> bytes | None:
-        """Wait for the next part; None at the end or when the endpoint is given up.
+        """Wait for the next chunk; None at the end or when the endpoint is given up.
 
-        Only this wait may be cancelled to go on elsewhere: events that were taken
+        Only this wait may be cancelled to continue elsewhere: events that were received
         are always sent.
         """
         stream = self._stream
@@ -66,7 +66,7 @@
     async def _pass_on(
         self, attempt: EndpointAttempt, events: Iterable[StreamEvent]
     ) -> None:
-        """Send the events that are new; raise `MissingEventError` after them."""
+        """Send new events; then raise `MissingEventError` if one is missing."""
         taken: list[bytes] = []
         try:
             for event in self._stream.delivered.take(events):
