--- a/src/piershore/ingress/moves/__init__.py
+++ b/src/piershore/ingress/moves/__init__.py
@@ -1,1 +1,1 @@
-"""Moves of generations from one engine to another."""
+"""Move generations from one engine to another."""
--- a/src/piershore/ingress/moves/copy_calls.py
+++ b/src/piershore/ingress/moves/copy_calls.py
@@ -1,4 +1,4 @@
-"""Calls to an engine that copy or stop one of its generations."""
+"""Client for the calls to an engine that copy or stop one of its generations."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from piershore.telemetry.events import MoveEnded
 
 MOVE_SECONDS = 2.5
-"""Longest wait for one copy; a notice is seldom longer."""
+"""Timeout for one copy; the notice before an endpoint leaves is seldom longer."""
 IDLE_SECONDS = 1.0
-"""Longest rest of a connection that a move takes over."""
+"""Maximum idle time of a pooled connection that a move reuses."""
 
 
 class CopyCalls:
-    """Copies what there is of a generation, stops it, or frees a copy.
+    """Copies the memory of a generation, stops the generation, or frees a copy.
 
-    A call that fails is logged, and told by None.
+    A failed call is logged and returns None.
     """
 
     def __init__(self, state: GatewayState, mover: GenerationMover) -> None:
@@ -28,15 +28,15 @@
         self._mover = mover
 
     async def copy(self, request: str, handover: Handover) -> MoveResult | None:
-        """Copy the memory while the generation goes on."""
+        """Copy the memory while the generation continues."""
         return await self._move(request, handover, is_last=False)
 
     async def stop(
         self, request: str, handover: Handover, noticed: float
     ) -> MoveResult | None:
-        """Stop the generation, so that its stream ends and goes on at the target.
+        """Stop the generation, so that its stream ends and continues at the target.
 
-        The target reads again what the copy lacks, some tens of tokens: that is
+        The target reads again the tokens that the copy lacks, a few tens: that is
         faster than waiting until the endpoint's link has copied them as well.
         """
         handover.run_stopped = True
@@ -47,7 +47,7 @@
         return result
 
     async def release(self, request: str, handover: Handover, copy: MemoryCopy) -> None:
-        """Free the copy of a stream that ended meanwhile."""
+        """Free the copy of a stream that has ended in the meantime."""
         try:
             source = handover.source
             async with self._state.pool.borrow(source, IDLE_SECONDS) as connection:
--- a/src/piershore/ingress/moves/move_coordinator.py
+++ b/src/piershore/ingress/moves/move_coordinator.py
@@ -1,8 +1,9 @@
-"""Moves generations away from endpoints that leave.
+"""Coordinates moves of generations away from endpoints that leave.
 
-All copies from one endpoint share its link, one after the other, and take most of
-the notice. A stream goes on while its memory is copied; then it is stopped and goes
-on at the target, which reads the few tokens that the copy lacks.
+All copies from one endpoint share its link, one after the other, and take most of the
+time between the endpoint's notice and its end. A stream continues while its memory is
+copied; then it is stopped and continues at the target, which reads the few tokens that
+the copy lacks.
 """
 
 from __future__ import annotations
@@ -37,22 +38,22 @@
 from piershore.telemetry.events import MoveStarted
 
 NOTES_SECONDS = 0.02
-"""Time for all gateways to tell each other of their streams: a datagram takes
-about 1 ms, a notice reaches all watches within some ms."""
+"""Wait until all gateways have reported their streams to each other: a datagram takes
+about 1 ms, and a notice reaches all watches within a few ms."""
 RETRY_SECONDS = 0.04
-"""Pause before asking again for a generation that has not begun."""
+"""Interval between checks whether a generation has begun."""
 STOPPED_RUN_SECONDS = 0.25
-"""Longest wait for the end of a run that was stopped: it comes within some ms, or 0.2 s
-after a lost packet. On a connection that has gone silent for good it never comes, and
-the stream was lost though its memory had been moved."""
+"""Maximum wait for the end of a stopped run: it arrives within a few ms, or 0.2 s after
+a lost packet. On a connection that has gone silent permanently it never arrives:
+without this limit, the stream was lost although its memory had been moved."""
 COPY_ATTEMPTS = 3
-"""Targets that are tried for one stream in a row; each refusal takes a few ms."""
+"""Maximum number of targets tried for one stream in a row; a refusal takes a few ms."""
 NO_ROOM_SECONDS = 0.15
-"""Pause after that: where memory is short, engines have room again some times a second.
-Of 19 streams that broke off in a simulated day 4 had three refusals within some ms and
-then 1.8 s left."""
+"""Pause after as many refusals: where memory is short, engines have capacity again
+several times a second. Of 19 streams that broke in a simulated day, 4 had been refused
+three times within a few ms, with 1.8 s of the notice left."""
 LONGEST_NOTICE_SECONDS = 2.5
-"""Targets are tried for so long; an endpoint is gone 1.5 to 2.1 s after its notice."""
+"""How long targets are tried; an endpoint is removed 1.5 to 2.1 s after its notice."""
 
 
 class MoveReason(StrEnum):
@@ -64,7 +65,10 @@
 
 @dataclass(frozen=True)
 class Evacuation:
-    """Generations are moved away from `source` since `noticed`, by trio's clock."""
+    """The move of generations away from `source`.
+
+    `noticed_at` is when its cause was noticed, by trio's clock.
+    """
 
     source: Endpoint
     engine: EngineSpec
@@ -77,7 +81,7 @@
 
 
 class MoveCoordinator:
-    """Moves this gateway's streams by the plan that all gateways make."""
+    """Moves this gateway's streams by the plan that all gateways compute alike."""
 
     def __init__(
         self, state: GatewayState, live: LiveStreams, mover: GenerationMover
@@ -89,7 +93,7 @@
         self._peers: PeerLink | None = None
 
     def start(self, nursery: trio.Nursery, peers: PeerLink) -> None:
-        """Run moves in a nursery of the process."""
+        """Set the nursery that moves run in, and the link to peers."""
         self._nursery = nursery
         self._peers = peers
 
@@ -102,7 +106,7 @@
     def evacuate_one(
         self, stream: LiveStream, reason: MoveReason = MoveReason.ENDPOINT_LEAVES
     ) -> None:
-        """Move one stream, say one that came to an endpoint that leaves."""
+        """Move one stream, for example one that was opened at a leaving endpoint."""
         if stream.handover is None:
             self._start(stream.endpoint, [stream], reason)
 
@@ -118,7 +122,7 @@
         self._nursery.start_soon(self._guard, evacuation, streams)
 
     async def _guard(self, evacuation: Evacuation, streams: list[LiveStream]) -> None:
-        """Keep a fault in one evacuation from ending the process."""
+        """Run an evacuation; log an exception instead of letting it end the process."""
         try:
             await self._evacuate(evacuation, streams)
         except Exception as error:
@@ -143,7 +147,7 @@
         source = evacuation.source
         notes = {note.request: note for note in self._live.notes(source.identity)}
         notes.update((n.request, n) for n in self._peers.notes_at(source.identity))
-        # One that crashed is listed for seconds, and left out sooner.
+        # A crashed endpoint stays listed for seconds, but is ejected sooner.
         now = trio.current_time()
         sound = self._state.placement.sound_of(source.service, now)
         targets = choose_targets(source, sound)
@@ -155,7 +159,7 @@
     async def _move(
         self, stream: LiveStream, evacuation: Evacuation, planned: PlannedMove | None
     ) -> None:
-        """Copy the stream's memory, then let it go on at the target."""
+        """Copy the stream's memory, then continue it at the target."""
         if planned is not None and planned.way is MoveWay.BACKUP and stream.has_backup:
             self._switch_to_backup(stream, evacuation)
             return
@@ -174,7 +178,7 @@
     async def _try_targets(
         self, stream: LiveStream, evacuation: Evacuation, target: Endpoint | None
     ) -> bool:
-        """Try some targets, `target` first; False if it is worth trying again."""
+        """Try several targets, `target` first; return False if a retry makes sense."""
         tried: list[str] = []
         target = target or self._choose(stream, evacuation, tried)
         while target is not None and len(tried) < COPY_ATTEMPTS:
@@ -189,7 +193,7 @@
     async def _move_to(
         self, stream: LiveStream, evacuation: Evacuation, target: Endpoint
     ) -> bool:
-        """Move to one target; False if another may be tried."""
+        """Move the stream to one target; return False if another may be tried."""
         handover = stream.handover = evacuation.handover_to(target)
         self._log_start(stream, evacuation, target)
         reservation = CopyWork(stream.work)
@@ -218,7 +222,7 @@
     async def _end_reading(self, stream: LiveStream, handover: Handover) -> None:
         """Stop waiting for the end of a stopped run whose connection is silent.
 
-        What its endpoint made and was not received is made again at the target.
+        The target generates again the events that were not received.
         """
         await trio.sleep(STOPPED_RUN_SECONDS)
         is_waiting = self._is_at(stream, handover.source)
@@ -228,7 +232,7 @@
     async def _stop_and_copy(
         self, stream: LiveStream, evacuation: Evacuation, handover: Handover
     ) -> bool:
-        """Move without a copy made before, for an experiment."""
+        """Move without a copy before the stop; used when `FIRST_COPIES` is disabled."""
         result = await self._calls.stop(
             stream.exchange.identity, handover, evacuation.noticed
         )
@@ -236,14 +240,14 @@
         return True
 
     def _switch_to_backup(self, stream: LiveStream, evacuation: Evacuation) -> None:
-        """Let the stream go on where its memory already is."""
+        """Continue the stream at its backup, which already has its memory."""
         stream.handover = backup_handover(stream)
         self._log_start(stream, evacuation, stream.backup)
         ingress_metrics.MOVES.labels("backup").inc()
         stream.give_up_endpoint()
 
     async def _copy(self, stream: LiveStream, handover: Handover) -> MoveResult | None:
-        """Copy what there is while the stream goes on."""
+        """Copy the present memory while the stream continues."""
         self._live.begin_copy(stream, handover.source.identity)
         try:
             return await self._calls.copy(stream.exchange.identity, handover)
@@ -252,7 +256,7 @@
             await self._peers.send_now()
 
     async def _wait_for_begin(self, stream: LiveStream, source: Endpoint) -> bool:
-        """Wait for the first event; False if the stream needn't move."""
+        """Wait for the first event; return False if the stream needn't move."""
         while self._is_at(stream, source):
             if not stream.work.is_long:
                 return False
