--- a/src/piershore/ingress/peers/__init__.py
+++ b/src/piershore/ingress/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways tell each other, and do for all."""
+"""Communication between gateways, and the work that they share out among themselves."""
--- a/src/piershore/ingress/peers/crash_news.py
+++ b/src/piershore/ingress/peers/crash_news.py
@@ -1,4 +1,4 @@
-"""Tells peers of requests under which endpoints crashed."""
+"""Reports to peers about requests that crash endpoints."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 from piershore.telemetry.events import RequestHeld
 
 REPEAT_SECONDS = 0.3
-"""News is told twice: a datagram may get lost, and a link may be down for a moment."""
+"""Delay before a report is sent a second time: a datagram may get lost, and a link may
+be down for a moment."""
 RETELL_SECONDS = 1.0
 RETELL_HOSTS = 3
-"""Peers that hear each second again what is held, picked at random: who missed the
-news, or has just started, knows within some seconds. For one request of 150 bytes that
-is 0.5 KB a second, whatever the number of gateways."""
+"""Number of peers, picked at random, that are sent the quarantined requests again each
+second: a gateway that missed a report, or has just started, learns of them within a few
+seconds. One request of 150 bytes costs 0.5 KB a second for any number of gateways."""
 MOST_TOLD = 8
-"""Requests in one datagram of these; the others come in turn."""
+"""Maximum number of requests in one repeated datagram; the others follow in turn."""
 
 
 class CrashNews:
-    """Sends notes of crashes, and takes those of peers."""
+    """Sends reports of crashes to peers, and applies theirs."""
 
     def __init__(self, state: GatewayState, link: PeerLink) -> None:
         self._state = state
@@ -34,23 +35,23 @@
         self._nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Send in a nursery of the process, and take what peers send."""
+        """Set the nursery to send in, and start to apply reports of peers."""
         self._nursery = nursery
         self._link.use_crash_news(self.take, self.greet)
 
     def tell(self, content: str) -> None:
-        """Tell all peers at once of a crash, an excuse or a probe."""
+        """Report a crash, a cleared request or a probe to all peers at once."""
         if self._nursery is not None:
             self._nursery.start_soon(self._spread, content)
 
     def greet(self, host: str) -> None:
-        """Tell a peer that has just come of what is held, as some others do too."""
+        """Send a new peer the quarantined requests; only some gateways do so."""
         peers = self._state.gateways - 1
         if self._nursery is not None and passes_on(peers, self._state.random.random()):
             self._nursery.start_soon(self._tell_held, [host])
 
     def take(self, notes: tuple[CrashNote, ...]) -> None:
-        """Add what a peer knows."""
+        """Merge a peer's reports into the quarantine."""
         for note in notes:
             self._take(note, trio.current_time())
         ingress_metrics.QUARANTINED.set(len(self._state.quarantine))
@@ -73,7 +74,7 @@
         self._state.log.write(event, is_failure=True)
 
     async def run(self) -> None:
-        """Tell again what is held, for ever."""
+        """Send the quarantined requests again periodically, until cancelled."""
         while True:
             await trio.sleep(RETELL_SECONDS)
             hosts = self._link.living_hosts()
--- a/src/piershore/ingress/peers/document_reader.py
+++ b/src/piershore/ingress/peers/document_reader.py
@@ -1,4 +1,4 @@
-"""Reads a document from peers, part by part."""
+"""Reads a document from peers, chunk by chunk."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 CONNECT_SECONDS = 0.4
 STALLED_SECONDS = 1.0
-"""A read is broken off when nothing comes for so long. It has no limit for the whole: a
-link that many share may take longer, and with 1 s for 0.8 MB on links of 5 Mbit/s no
-read ever ended well."""
+"""A read is aborted when nothing arrives for so long. There is no timeout for the whole
+read: a link that many gateways share may take longer, and with 1 s for 0.8 MB on links
+of 5 Mbit/s no read ever succeeded."""
 
 
 class DocumentReader:
-    """Reads one kind of document; what came is kept if a read breaks off."""
+    """Reads one kind of document; chunks received before a read fails are kept."""
 
     def __init__(self, path: bytes, port: int, log: EventLog) -> None:
         self._path = path
@@ -37,9 +37,9 @@
         self._received = 0
 
     async def read(self, host: str, own: Document | None) -> Document | None:
-        """Return a peer's document, or None if it couldn't be read in whole.
+        """Return a peer's document, or None if it couldn't be read completely.
 
-        Parts of `own`, the document that is known here, are not read again.
+        Chunks of `own`, the document that this gateway has, are not read again.
         """
         self._received = 0
         started = trio.current_time()
@@ -66,7 +66,9 @@
                 if document is not None:
                     return document
                 if self._assembly.request(own) == request:
-                    raise ExchangeBrokenError("the peer gave no missing part")
+                    raise ExchangeBrokenError(
+                        "the peer sent none of the missing chunks"
+                    )
         finally:
             with trio.CancelScope(shield=True):
                 await connection.close()
--- a/src/piershore/ingress/peers/document_server.py
+++ b/src/piershore/ingress/peers/document_server.py
@@ -1,4 +1,4 @@
-"""Gives this gateway's documents to its peers, the parts that they lack."""
+"""Serves this gateway's documents to its peers, only the chunks that they lack."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 DocumentSource = Callable[[], Document | None]
 
 REPLIES_KEPT = 16
-"""Replies to one version that are kept: peers that had the same version before ask the
-same, and a reply costs some 2 ms of a core."""
+"""Maximum number of cached replies: peers that had the same version before send the
+same request, and building a reply takes about 2 ms of a core."""
 
 
 class DocumentServer:
-    """Answers requests for parts; `sources` gives the present documents by path."""
+    """Answers requests for chunks; `sources` returns the current documents by path."""
 
     def __init__(self, sources: Mapping[bytes, DocumentSource], log: EventLog) -> None:
         self._sources = sources
@@ -34,7 +34,7 @@
         self._replies: dict[tuple, bytes] = {}
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Answer one peer's requests."""
+        """Answer one peer's requests until it closes the connection."""
         connection = ServerConnection(stream, ClientLimits)
         try:
             while (head := await connection.next_request()) is not None:
--- a/src/piershore/ingress/peers/endpoint_document.py
+++ b/src/piershore/ingress/peers/endpoint_document.py
@@ -1,4 +1,4 @@
-"""The list of endpoints as a document for peers."""
+"""The list of endpoints as a document that peers can read."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EndpointDocument:
-    """Makes the document of a directory, again after each change."""
+    """Builds the document of a directory, and rebuilds it after each change."""
 
     def __init__(self, directory: EndpointDirectory) -> None:
         self._directory = directory
@@ -21,7 +21,7 @@
         self._document: Document | None = None
 
     def current(self) -> Document:
-        """Return the document of the present list, in the order of identities."""
+        """Return the document of the current list, ordered by identity."""
         directory = self._directory
         if self._document is None or self._fingerprint != directory.fingerprint:
             entries = [
--- a/src/piershore/ingress/peers/load_notes.py
+++ b/src/piershore/ingress/peers/load_notes.py
@@ -1,4 +1,4 @@
-"""Tells of new work at once, to those who choose from the same endpoint."""
+"""Sends load updates to the peers that choose from the same endpoints."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LoadNotes:
-    """Sends notes of this gateway's load at endpoints where work is new."""
+    """Sends updates of this gateway's load at endpoints that got new work."""
 
     def __init__(self, state: GatewayState, link: PeerLink) -> None:
         self._state = state
@@ -22,12 +22,15 @@
         self._wake = trio.Event()
 
     def note_new_work(self, endpoint: Endpoint) -> None:
-        """Have this gateway's load at an endpoint told soon."""
+        """Send this gateway's load at an endpoint soon."""
         self._changed[endpoint.identity] = endpoint
         self._wake.set()
 
     async def run(self) -> None:
-        """Send notes for ever; starts in one moment at one endpoint share one."""
+        """Send updates until cancelled.
+
+        Requests that start at one endpoint at about the same time share one update.
+        """
         while True:
             await self._wake.wait()
             await trio.sleep(SHORTEST_GAP_SECONDS)
@@ -45,7 +48,7 @@
             self._state.fleet_load.own(endpoint.identity),
         )
         data = note.encode()
-        # Who lives may change while one of these is sent.
+        # The set of live peers may change while a datagram is sent.
         for host in tuple(self._state.subsets.sharing_peers(endpoint)):
             ingress_metrics.LOAD_NOTES.inc()
             await self._link.send_to(host, data)
--- a/src/piershore/ingress/peers/outage_watch.py
+++ b/src/piershore/ingress/peers/outage_watch.py
@@ -1,8 +1,8 @@
-"""Engines are asked themselves whether they leave, while nobody reads the store.
+"""Probes engines for their departure while no gateway can read the store.
 
-An engine tells the store that it leaves, some 2 s before it is gone. While the store
-is out for all gateways its streams would be lost without a warning. Each engine with
-work is asked by one gateway, which tells the others.
+An engine announces in the store that it leaves, about 2 s before it ends. During an
+outage of the store for all gateways, its streams would be lost without a warning. So
+each engine with work is probed by one gateway, which informs the others.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from piershore.ingress.ports import EndpointReports
 
 ASK_SECONDS = 0.25
-"""Time between two questions to one engine: a report is some 0.5 s old, a notice 1.5 to
-2.1 s long, and each question has a price."""
+"""Interval between probes of one engine: a report is about 0.5 s old, an engine ends
+1.5 to 2.1 s after its notice, and each probe has a cost."""
 ANSWER_SECONDS = 0.4
-"""Longest wait for a report; the next question comes soon."""
+"""Timeout for a report; the next probe follows soon."""
 IDLE_SECONDS = 2.0
 
 
 class OutageWatch:
-    """Asks the engines that this gateway is to ask."""
+    """Probes the engines that this gateway is responsible for."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._peers = peers
 
     async def run(self) -> None:
-        """Ask from time to time, for ever, while the store is out for all."""
+        """Probe periodically while the store is down for all; run until cancelled."""
         while True:
             await trio.sleep(ASK_SECONDS)
             if not self._store_is_out():
@@ -55,7 +55,7 @@
                     nursery.start_soon(self._ask, endpoint)
 
     def _store_is_out(self) -> bool:
-        """Tell whether no gateway learns from the store that an engine leaves."""
+        """Return whether no gateway can learn from the store that an engine leaves."""
         if self._peers.store_seems_silent():
             return True
         return self._endpoints.link.is_out and not self._peers.hears_store_reader()
@@ -83,6 +83,6 @@
                 ) as connection:
                     report = await self._reports.ask(connection, endpoint.address)
             except (ExchangeBrokenError, NotConnectedError):
-                # Traffic shows what else is wrong with it.
+                # Other faults of the endpoint show up in its traffic.
                 return
             self._state.notices.take_report(endpoint, report)
--- a/src/piershore/ingress/peers/peer_documents.py
+++ b/src/piershore/ingress/peers/peer_documents.py
@@ -1,4 +1,4 @@
-"""What a gateway reads from a peer when its own view is behind."""
+"""Exchange of documents between gateways: each catches up from a peer."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 CONFIGURATION_PATH = b"/configuration"
 ENDPOINTS_PATH = b"/endpoints"
 BEHIND_SECONDS = 0.12
-"""How long a view may be behind a peer's before it is mended: a change reaches
-all watches within some tens of ms."""
+"""How long the configuration may lag behind a peer's before it is read from there: a
+change reaches all watches within a few tens of ms."""
 DIFFERENT_SECONDS = 0.5
 CHECK_SECONDS = 0.1
 PAUSE_AFTER_MENDING_SECONDS = 0.6
 LEAST_WIDTH = 1.0
-"""Megabits a second that any link counts for."""
+"""Minimum weight of a peer in the choice of one, in Mbit/s of its link."""
 
 
 class PeerDocuments:
-    """Gives this gateway's documents to peers, and takes theirs when behind."""
+    """Serves this gateway's documents to peers, and reads theirs when behind."""
 
     def __init__(
         self,
@@ -58,11 +58,11 @@
         self._server = DocumentServer(sources, log)
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Answer one peer's reads."""
+        """Serve one peer's connection."""
         await self._server.serve(stream)
 
     async def follow(self) -> None:
-        """Mend what is behind the peers, for ever."""
+        """Catch up with the peers whenever behind, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow_configuration)
             nursery.start_soon(self._follow_endpoints)
@@ -108,8 +108,9 @@
     def _ahead_in_endpoints(self, now: float) -> Peer | None:
         """Return a peer with a newer list of endpoints that differs from ours.
 
-        As long as none is known here, a list from before an outage is better than none:
-        a gateway that started in the outage served nobody until its end.
+        While this gateway has no list, one from before an outage is better than none:
+        otherwise a gateway that started during an outage served no request until the
+        outage ended.
         """
         is_known = self._endpoints.is_known
         own = self._state.directory.fingerprint
@@ -123,7 +124,7 @@
         )
 
     def _pick(self, ahead: Iterable[Peer]) -> Peer | None:
-        """Return one of the peers, those with wide links more often."""
+        """Return a random peer, weighted by the bandwidth of its link."""
         ahead = list(ahead)
         if not ahead:
             return None
@@ -137,7 +138,7 @@
             await self._configuration.take(document, f"peer {peer.host}")
 
     async def _mend_endpoints(self, peer: Peer) -> None:
-        """Ask the store again; without a watch of our own, take the peer's list."""
+        """Read the store again; without a working watch, read the peer's list."""
         watches = self._link.should_watch() and not self._endpoints.link.is_out
         if self._endpoints.is_known and watches:
             self._endpoints.restart()
--- a/src/piershore/ingress/peers/peer_link.py
+++ b/src/piershore/ingress/peers/peer_link.py
@@ -1,4 +1,4 @@
-"""Reports between gateways: a datagram some times a second to each."""
+"""Reports between gateways, sent to each peer as datagrams several times a second."""
 
 from __future__ import annotations
 
@@ -45,19 +45,19 @@
 )
 
 DEPARTED_SECONDS = 2.0
-"""How long an endpoint is told to have left: some reports may be lost."""
+"""How long reports name an endpoint as departed: some reports may be lost."""
 MEMBERS_EVERY = 10
-"""Only each tenth report names the members and tells of lengths: in a fleet of 30 they
+"""Only each tenth report has the members and the output lengths: in a fleet of 30 they
 are three quarters of a report."""
 MEMBERS_TOLD_SECONDS = 3.0
-"""After a change of who lives, each report names them for so long."""
+"""How long each report has the members after the set of live peers has changed."""
 LARGEST_DATAGRAM = 60_000
 PEER_LOAD_SECONDS = 1.0
-"""A peer's work counts for so long after it has fallen silent."""
+"""How long a peer's work still counts after the peer has fallen silent."""
 
 
 class PeerLink:
-    """Sends this gateway's reports and takes those of its peers."""
+    """Sends this gateway's reports, and receives and applies those of its peers."""
 
     def __init__(
         self,
@@ -88,7 +88,8 @@
         self.incarnation = uuid4().hex[:12]
         self._number = 0
         # The first report goes to all seeds, so that peers are known 0.1 s after the
-        # start and not 1.0 s: until then nobody tells what is held, or excused.
+        # start and not 1.0 s: until then, no peer reports which requests are
+        # quarantined or cleared.
         self._rounds = SILENT_CALL_EVERY - 1
         self._sent_at = float("-inf")
         self._is_whole = True
@@ -104,22 +105,22 @@
         take: Callable[[tuple[CrashNote, ...]], None],
         greet: Callable[[str], None],
     ) -> None:
-        """Set what takes peers' notes of crashes, and what tells new peers of them."""
+        """Set the callbacks for crash reports of peers and for each new peer's host."""
         self._take_crash_notes = take
         self._greet = greet
 
     async def start(self) -> None:
-        """Take the port."""
+        """Bind the socket."""
         self._socket = trio.socket.socket(type=trio.socket.SOCK_DGRAM)
         await self._socket.bind((self.host, self._port))
 
     def close(self) -> None:
-        """Give the port back."""
+        """Close the socket."""
         if self._socket is not None:
             self._socket.close()
 
     async def receive(self) -> None:
-        """Take reports for ever."""
+        """Receive datagrams and apply them, until cancelled."""
         while True:
             try:
                 data, _ = await self._socket.recvfrom(LARGEST_DATAGRAM)
@@ -128,7 +129,7 @@
                 self._state.log.write(DependencyLost("peers", error.message))
                 continue
             except OSError as error:
-                # A peer's closed port can be reported on our socket.
+                # The closed port of a peer can cause an error on this socket.
                 self._state.log.write(DependencyLost("peers", str(error)))
                 continue
 
@@ -145,7 +146,7 @@
             self._state.fleet_load.take_part(note.host, note.endpoint, note.load)
 
     async def send(self) -> None:
-        """Send reports for ever, and at once when something changed."""
+        """Send reports regularly and soon after changes, until cancelled."""
         while True:
             await self.send_now()
             peers = len(self._living)
@@ -155,8 +156,9 @@
             await trio.sleep(SHORTEST_GAP_SECONDS)
 
     async def _wait_for_news(self, gap: float) -> None:
-        """Return at once when others must know, and after a gap when an endpoint
-        failed.
+        """Return at once when peers must be informed.
+
+        After a failure of an endpoint, return `gap` seconds after the last report.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._wait_for_failure, gap, nursery.cancel_scope)
@@ -169,17 +171,17 @@
         scope.cancel()
 
     def announce(self) -> None:
-        """Send a report soon, since others must know."""
+        """Send a report soon."""
         self._wake.set()
 
     def announce_failure(self) -> None:
-        """Send a report soon that tells of a failure, but not one for each."""
+        """Send a report of a failure soon; failures in quick succession share one."""
         self._failed.set()
 
     def note_departed(self, note: DepartureNote) -> None:
-        """Tell peers that an endpoint leaves or is gone.
+        """Report to peers that an endpoint leaves or was removed.
 
-        Those tell who saw it themselves, and some of those who heard of it.
+        Gateways that detected it do so, and some of those that received a report of it.
         """
         if note in self._heard:
             return
@@ -187,7 +189,7 @@
         self._wake.set()
 
     def should_watch(self) -> bool:
-        """Tell whether this gateway should watch the store by itself."""
+        """Return whether this gateway should watch the store itself."""
         if not self._state.uses(Mechanism.FEW_WATCHERS):
             return True
         own = WatcherView(
@@ -220,11 +222,11 @@
         try:
             await self._socket.sendto(data, (host, self._port))
         except OSError:
-            # One of many; a peer that stays silent is logged.
+            # Datagrams may be lost; a peer that stays silent is logged.
             return
 
     def next_number(self) -> int:
-        """Return the number of the next report or note, which tells their order."""
+        """Return the sequence number of the next report or load update."""
         self._number += 1
         return self._number
 
@@ -277,14 +279,15 @@
         yield from self._departed
 
     def living_hosts(self) -> list[str]:
-        """Return the hosts of the peers that were heard lately and stay."""
+        """Return the hosts of live peers that are not stopping."""
         living = self.table.living(trio.current_time())
         return [peer.host for peer in living if not peer.report.is_leaving]
 
     def seconds_until_taken(self) -> float:
-        """Return when a caller that is refused here finds a gateway that stays.
+        """Return the seconds until a refused caller finds a gateway that stays.
 
-        With no peer heard to stop, others are taken to stay: they may not be known.
+        If no peer has reported that it stops, others are assumed to stay, even if none
+        is known.
         """
         own = self._state.leaving_since
         known = [*self._leaving_since.values(), *([own] if own is not None else [])]
@@ -294,12 +297,12 @@
         )
 
     def hears_store_reader(self) -> bool:
-        """Tell whether a living peer reads the store."""
+        """Return whether a live peer reads the store."""
         living = self.table.living(trio.current_time())
         return any(peer.report.reads_store for peer in living)
 
     def store_seems_silent(self) -> bool:
-        """Tell whether the store answers nobody, as far as is known."""
+        """Return whether the store seems to answer no gateway at all."""
         return seems_silent(self._store_signs())
 
     def _store_signs(self) -> Iterator[StoreSign]:
@@ -311,7 +314,7 @@
             yield StoreSign(age, sign.is_overdue)
 
     def notes_at(self, identity: str) -> Iterator[StreamNote]:
-        """Yield what living peers tell of their generations at an endpoint."""
+        """Yield the streams that live peers report at a leaving endpoint."""
         for peer in self.table.living(trio.current_time()):
             yield from peer.report.leaving.get(identity, ())
 
@@ -366,7 +369,7 @@
         self._state.fleet_load.forget_peers(now - counts_for)
 
     def _forget_returned(self, now: float) -> None:
-        """Drop gateways that were told to stop and must be back, or never come."""
+        """Drop stopping gateways that must have returned by now, or never will."""
         longest = self._grace + START_SECONDS
         for host, since in list(self._leaving_since.items()):
             if now - since > longest:
@@ -374,7 +377,7 @@
 
 
 def _ignore(news: object) -> None:
-    """Take no news of crashes: nothing that keeps them runs yet."""
+    """Ignore crash reports and new peers until handlers are set."""
 
 
 def _drop_old(notes: dict[DepartureNote, float], now: float) -> None:
