--- a/src/piershore/ingress/followers/configuration_follower.py
+++ b/src/piershore/ingress/followers/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Follows the operators' configuration in the store, or at peers."""
+"""Follows the operators' configuration in the store or, during an outage, at peers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ConfigurationFollower(StoreFollower):
-    """Puts each newer configuration in force."""
+    """Applies each newer configuration."""
 
     def __init__(
         self, state: GatewayState, feed: ConfigurationFeed, watch_seconds: float
@@ -27,7 +27,7 @@
 
     @property
     def document(self) -> Document | None:
-        """The document in force, for peers."""
+        """The document in force, as peers read it."""
         return self._document
 
     @property
@@ -37,11 +37,14 @@
 
     @property
     def known_revision(self) -> StoreRevision | None:
-        """The revision of the document in force, whoever it came from."""
+        """The revision of the document in force, from the store or a peer."""
         return self._document.revision if self._document is not None else None
 
     async def take(self, document: Document, source: str) -> bool:
-        """Put a document in force if it is newer; tell whether it was."""
+        """Put a document in force if it is newer; return whether it was.
+
+        An invalid document is logged and ignored.
+        """
         try:
             pieces = await self._decode(document)
             configuration = self._feed.join(pieces.values())
@@ -63,7 +66,7 @@
         return True
 
     async def _decode(self, document: Document) -> dict[str, ConfigurationPiece]:
-        """Decode the parts that are new; the others' pieces are there already."""
+        """Decode the new chunks; reuse the pieces decoded from the others."""
         pieces = {}
         async for part in in_turns(document.parts):
             known = self._pieces.get(part.digest)
--- a/src/piershore/ingress/followers/drain_follower.py
+++ b/src/piershore/ingress/followers/drain_follower.py
@@ -1,4 +1,4 @@
-"""Follows which data halls are drained, in the store and at peers."""
+"""Follows which data halls are drained, in the store and in reports of peers."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from piershore.ingress.ports import DrainFeed
 
 KEPT_SECONDS = 3.0
-"""A drain that is missing when the store has come back from an older copy holds for so
-long: operators write again what was lost. Taken at its word, the store let requests
-reach a hall that is being emptied until then; kept, a hall whose drain nobody wants any
-more stays idle for this time."""
+"""How long a drain stays in force that is missing after the store was restored from an
+older copy: operators write lost drains again. Without this delay, requests would reach
+a data hall that is being emptied until then; with it, a data hall whose drain is no
+longer wanted stays idle for this time."""
 SWEEP_SECONDS = 0.25
 
 OnDrained = Callable[[DrainedHalls, frozenset[str], str], None]
-"""Takes the new view, the data halls that were drained before, and who told it."""
+"""Called with the new view, the data halls drained before, and the view's source."""
 
 
 class DrainFollower(StoreFollower):
-    """Keeps the newest view of the drained data halls."""
+    """Tracks the newest view of the drained data halls."""
 
     def __init__(
         self,
@@ -42,31 +42,31 @@
 
     @property
     def view(self) -> DrainedHalls | None:
-        """The store's newest view, or None before one is known."""
+        """The newest view of the store, or None before one is known."""
         return self._view
 
     @property
     def is_known(self) -> bool:
-        """Whether a view was taken, from the store or from a peer."""
+        """Whether a view was received, from the store or from a peer."""
         return self._view is not None
 
     @property
     def known_revision(self) -> StoreRevision | None:
-        """The revision of the view, whoever it came from."""
+        """The revision of the view, from the store or a peer."""
         return self._view.revision if self._view is not None else None
 
     def take_from_peer(self, view: DrainedHalls, host: str) -> None:
-        """Take what a peer tells, if it is newer."""
+        """Apply the view of a peer if it is newer."""
         if self._take(view, f"peer {host}"):
             self._feed.go_on_from(view)
 
     async def sweep(self) -> None:
-        """End the drains that were lost and not written again, for ever."""
+        """End lost drains that were not written again in time; run until cancelled."""
         while True:
             await trio.sleep(SWEEP_SECONDS)
             before, now = self._in_force(), trio.current_time()
             self._kept = {hall: at for hall, at in self._kept.items() if at > now}
-            self._tell(before, "not written again")
+            self._tell(before, "lost when the store was restored")
 
     async def _read(self) -> StoreRevision:
         view = await self._feed.read()
@@ -81,7 +81,7 @@
         return view.revision
 
     def _take(self, view: DrainedHalls, source: str) -> bool:
-        """Take a view; tell whether it was newer."""
+        """Apply a view if it is newer; return whether it was."""
         known = self._view
         if known is not None and view.revision <= known.revision:
             return False
@@ -94,7 +94,7 @@
         return True
 
     def _in_force(self) -> frozenset[str]:
-        """Return the drained halls, those that the store has lost included."""
+        """Return the drained data halls, including those that the store has lost."""
         return self._view.data_halls | self._kept.keys() if self._view else frozenset()
 
     def _tell(self, before: frozenset[str], source: str) -> None:
--- a/src/piershore/ingress/followers/endpoint_follower.py
+++ b/src/piershore/ingress/followers/endpoint_follower.py
@@ -1,4 +1,4 @@
-"""Follows the platform's list of endpoints in the store, or at peers."""
+"""Follows the platform's list of endpoints in the store or, in an outage, at peers."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
 from piershore.telemetry.events import InvalidEntry
 
 DOUBT_SECONDS = 3.0
-"""An entry that goes this soon after an outage may only have lapsed in it."""
+"""An entry removed this soon after an outage may only have expired during it."""
 TOGETHER_SECONDS = 0.03
-"""Pause after changes, so that those of one moment (engines that leave together) share
-a call. Each has a price and each change wakes all watchers; the shortest notice of an
+"""Pause after changes, so that simultaneous ones (engines that leave together) share a
+call. Each call has a cost and each change wakes all watchers; the shortest notice of an
 engine is fifty times longer."""
 FEW_ENDPOINTS = 2
-"""Endpoints of a service that go at once without notice, and half of them all,
-are taken to have lapsed: endpoints are replaced a few at a time."""
+"""If at least so many endpoints of a service, and at least half of all of them, are
+removed at once without notice, they are assumed to have expired: endpoints are replaced
+a few at a time."""
 SWEEP_SECONDS = 0.25
 
 OnDeparture = Callable[[Departure], None]
@@ -48,11 +49,11 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether a whole list was taken."""
+        """Whether a complete list was received, from the store or from a peer."""
         return self._is_known
 
     async def sweep(self) -> None:
-        """Drop entries that did not come back after an outage, for ever."""
+        """Drop entries that did not return after an outage; run until cancelled."""
         while True:
             await trio.sleep(SWEEP_SECONDS)
             if not self.link.is_out:
@@ -62,12 +63,12 @@
     def take_from_peer(
         self, endpoints: Iterable[Endpoint], revision: StoreRevision
     ) -> None:
-        """Take a peer's list while the store can't be read."""
+        """Apply a peer's list, if it is newer, while the store can't be read."""
         if revision > self._state.directory.revision:
             self._take_all(tuple(endpoints), revision, after_outage=False)
 
     def note_departed(self, note: DepartureNote) -> None:
-        """Note what a peer has seen: an endpoint leaves or is gone."""
+        """Apply a peer's report that an endpoint leaves, was removed or restarted."""
         directory = self._state.directory
         if note.is_restarted:
             self.take_departures(directory.mark_restarted(note.identity))
@@ -121,7 +122,10 @@
         self.take_departures(departures)
 
     def _note_starts(self, endpoints: Iterable[Endpoint], now: float) -> None:
-        """Take those for cold that weren't known: a peer's list doesn't tell."""
+        """Record endpoints that weren't known as just started.
+
+        A peer's list doesn't say how cold they are.
+        """
         for endpoint in endpoints:
             if self._state.directory.get(endpoint.identity) is None:
                 self._state.cold.note_started(endpoint, now)
@@ -144,7 +148,7 @@
             )
 
     def _lapsed_services(self, changes: tuple[EndpointChange, ...]) -> set[str]:
-        """Return the services of which too many endpoints go at once."""
+        """Return the services of which too many endpoints are removed at once."""
         directory = self._state.directory
         going = Counter(
             known.service
@@ -161,12 +165,12 @@
         }
 
     def _known(self, change: EndpointChange) -> Endpoint | None:
-        """Return the endpoint that is listed under the name of what changed."""
+        """Return the listed endpoint that a change is about, or None."""
         directory = self._state.directory
         return directory.get(directory.identity_of(change.name) or change.name)
 
     def take_departures(self, departures: Iterable[Departure]) -> None:
-        """Do what follows when endpoints leave, whoever said so."""
+        """Handle departures of endpoints, detected or reported in any way."""
         for departure in departures:
             self._on_departure(departure)
         stages = Counter(endpoint.stage for endpoint in self._state.directory)
--- a/src/piershore/ingress/followers/store_follower.py
+++ b/src/piershore/ingress/followers/store_follower.py
@@ -1,4 +1,4 @@
-"""What the followers of the platform's store have in common."""
+"""Base class of the followers of the platform's store."""
 
 from __future__ import annotations
 
@@ -17,29 +17,32 @@
 from piershore.telemetry.events import InvalidEntry, StoreReturned
 
 NOT_WATCHING_SECONDS = 0.1
-"""How often a gateway that leaves the watching to others sees if it still may."""
+"""Interval at which a gateway that doesn't watch checks whether it should."""
 WATCH_PARTS = (0.6, 1.0)
-"""Parts of the longest wait that watches take: a change wakes all of them together, and
-they are to end at different moments."""
+"""Jitter of the watch time, as factors of its maximum: a change wakes all watches
+together, and they should end at different times."""
 
 SETTLING_SECONDS = 3.0
-"""Time from a gateway's start in which it doesn't know yet who else watches: in a fleet
-of 68 that starts together all have left the watching to a few after 3.5 s."""
+"""Time after a gateway's start in which it doesn't know yet which others watch: in a
+fleet of 68 that starts together, only a few still watch after 3.5 s."""
 SETTLING_PAUSE_SECONDS = 0.6
-"""Pause after a watch in that time: changes that come one after the other share a call.
-Without it all gateways watch while endpoints register one by one: 1,300 calls in 3 s
-with 68 gateways and 36 endpoints (simulated day), growing as one times the other. A
-gateway with requests in flight doesn't pause: what it serves may have to move within
-1.5 s of a change."""
+"""Pause after a watch in that time, so that consecutive changes share a call. Without
+it, all gateways watch while endpoints register one by one: 1,300 calls in 3 s with 68
+gateways and 36 endpoints (simulated day), growing with the product of both. A gateway
+with requests in flight doesn't pause: their streams may have to move within 1.5 s of a
+change."""
 
 
 def always() -> bool:
-    """Watch by itself, whoever else does."""
+    """Return True: watch whether or not other gateways do."""
     return True
 
 
 class StoreFollower(ABC):
-    """Reads a state from the store once, and then its changes."""
+    """Reads a state from the store once, and then follows its changes.
+
+    After a failure or a gap in the changes, it reads the whole state again.
+    """
 
     def __init__(
         self,
@@ -64,45 +67,49 @@
     @property
     @abstractmethod
     def is_known(self) -> bool:
-        """Whether a whole state was taken, from the store or from a peer."""
+        """Whether a complete state was received, from the store or from a peer."""
 
     @property
     def known_revision(self) -> StoreRevision | None:
-        """The revision from which on changes are to be watched; None to read all."""
+        """The revision to watch changes from; None to read the whole state."""
         return None
 
     async def run(self) -> None:
-        """Follow the store for ever."""
+        """Follow the store until cancelled."""
         self._settled_at = trio.current_time() + SETTLING_SECONDS
         while True:
             with trio.CancelScope() as self._scope:
                 await self._follow()
 
     def use_watchers(self, should_watch: Callable[[], bool]) -> None:
-        """Leave the watching to others while `should_watch` is false."""
+        """Don't watch the store while `should_watch` returns false: others do."""
         self._should_watch = should_watch
 
     def restart(self) -> None:
-        """Read the whole state again now: a peer's differs."""
+        """Read the whole state again now, because a peer's differs."""
         self._revision = None
         if self._scope is not None:
             self._scope.cancel()
 
     @abstractmethod
     async def _read(self) -> StoreRevision:
-        """Take the whole state; return its revision."""
+        """Read and apply the whole state; return its revision."""
 
     @abstractmethod
     async def _take_changes_after(
         self, revision: StoreRevision, wait: float
     ) -> StoreRevision:
-        """Wait for changes and take them; return the revision reached."""
+        """Wait up to `wait` seconds for changes and apply them.
+
+        Return the revision reached.
+        """
 
     async def _follow(self) -> None:
         while True:
             if self.is_known and not self._should_watch():
-                # What peers gave is complete up to its revision: a gateway that has to
-                # watch again goes on from there and doesn't read all again.
+                # The state received from peers is complete up to its revision: a
+                # gateway that must watch again continues from there instead of reading
+                # the whole state.
                 self._revision = self.known_revision
                 await trio.sleep(NOT_WATCHING_SECONDS)
                 continue
@@ -113,12 +120,12 @@
             except WatchGapError:
                 self._revision = None
             except PiershoreError as error:
-                # A watch that was cut may have missed changes: read all again.
+                # An interrupted watch may have missed changes: read the whole state.
                 self._revision = None
                 await self.link.note_failure(f"{error.code}: {error.message}")
 
     def _note_era(self) -> None:
-        """Log that the store has come back from an older copy, and faulty eras."""
+        """Log a restore of the store from an older copy, and invalid eras."""
         finding = self._feed_to_follow.take_era_finding()
         if finding:
             self._state.log.write(InvalidEntry("store era", finding), is_failure=True)
@@ -150,7 +157,7 @@
         await self._settle()
 
     async def _settle(self) -> None:
-        """Pause while nobody knows who else watches, and there is nothing to lose."""
+        """Pause while it isn't known who else watches and no request is in flight."""
         now = trio.current_time()
         until = min(self._settled_at, now + SETTLING_PAUSE_SECONDS)
         while trio.current_time() < until and not self._state.in_flight:
--- a/src/piershore/ingress/followers/store_link.py
+++ b/src/piershore/ingress/followers/store_link.py
@@ -1,4 +1,4 @@
-"""How well the platform's store answers one loop that follows it."""
+"""Health of the platform's store as one follower sees it."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from piershore.telemetry.events import DependencyLost, DependencyRegained
 
 FIRST_PAUSE_SECONDS = 0.04
-"""A watch that was cut is taken up again almost at once."""
+"""Base of the backoff: an interrupted watch is resumed almost at once."""
 LONGEST_PAUSE_SECONDS = 0.8
-"""Well below the shortest bound for a change to be in force, 2 s."""
+"""Maximum backoff: well below 2 s, the shortest bound for a change to be in force."""
 FAILURES_OF_AN_OUTAGE = 2
-"""One failure may be a watch that was cut; the second is an outage."""
+"""One failure may be an interrupted watch; the second in a row is an outage."""
 
 
 class StoreLink:
-    """Counts failures in a row and paces the calls after them."""
+    """Counts consecutive failures of calls, and backs off after each."""
 
     def __init__(
         self, name: str, random: Random, log: EventLog, heard_at: Callable[[], float]
@@ -37,15 +37,15 @@
 
     @property
     def is_out(self) -> bool:
-        """Whether the store seems to be out now."""
+        """Whether the store seems to be down now."""
         return self._failures >= FAILURES_OF_AN_OUTAGE
 
     def seconds_since_outage(self) -> float:
-        """Return how long ago the store was last seen out."""
+        """Return the seconds since the last failure in an outage of the store."""
         return trio.current_time() - self._last_outage
 
     def note_success(self) -> None:
-        """Count a call that was answered."""
+        """Record a call that was answered."""
         if self.is_out:
             seconds = trio.current_time() - self._failing_since
             self._log.write(DependencyRegained(self._name, seconds), is_failure=True)
@@ -53,17 +53,17 @@
         self._last_success = trio.current_time()
 
     def expect_answer(self, within: float) -> None:
-        """Note a call that is to be answered within so many seconds."""
+        """Record that a call should be answered within so many seconds."""
         self._due_at = trio.current_time() + within
 
     def expect_nothing(self) -> None:
-        """Note that no call is under way."""
+        """Record that no call is in progress."""
         self._due_at = float("inf")
 
     def sign(self) -> StoreSign:
-        """Return when the last answer came, and whether one is overdue.
+        """Return the age of the last answer, and whether one is overdue.
 
-        An answer that is still coming is neither old nor overdue.
+        An answer that is still being received is neither old nor overdue.
         """
         now = trio.current_time()
         heard_at = self._heard_at()
@@ -71,11 +71,11 @@
         return StoreSign(now - max(self._last_success, heard_at), is_overdue)
 
     def is_fresh(self, longest: float) -> bool:
-        """Tell whether a call was answered within the last `longest` seconds."""
+        """Return whether a call was answered within the last `longest` seconds."""
         return trio.current_time() - self._last_success < longest
 
     async def note_failure(self, reason: str) -> None:
-        """Count a failed call, and pause before the next."""
+        """Record a failed call, and wait before the next; the wait grows each time."""
         if not self._failures:
             self._failing_since = trio.current_time()
         self._failures += 1
