--- a/features/ingress_streams.feature
+++ b/features/ingress_streams.feature
@@ -1,68 +1,68 @@
-Feature: Streams through a gateway of the platform
+Feature: Streams through a gateway
 
   @tokens_once_in_order
-  Scenario: a stream that nothing disturbs
+  Scenario: an undisturbed stream
     Given 3 engines
     When a stream of 30 events is read
     Then all events came once and in order, from 1 run
 
   @tokens_once_in_order @planned_stop_cuts_nothing
-  Scenario Outline: the endpoint of a stream <says>
+  Scenario Outline: the endpoint of a stream <event>
     Given 3 engines
-    When a stream of 60 events is read and its endpoint <says> midway
+    When a stream of 60 events is read and its endpoint <event> midway
     Then all events came once and in order, from 1 run
-    And it went on at another endpoint <times> times
+    And it was continued at other endpoints <times> times
 
     Examples:
-      | says                          | times |
-      | says that it leaves           | 1     |
-      | is gone from the list         | 1     |
-      | leaves, and its target leaves | 2     |
+      | event                              | times |
+      | announces that it leaves           | 1     |
+      | is removed from the list           | 1     |
+      | leaves, and then its target leaves | 2     |
 
   @tokens_once_in_order @planned_stop_cuts_nothing
-  Scenario: the endpoint of a stream leaves while the store is out
+  Scenario: the endpoint of a stream leaves while the store is down
     Given 3 engines
-    When a stream of 150 events is read and its endpoint leaves in an outage midway
+    When a stream of 150 events is read and its endpoint leaves in a store outage midway
     Then all events came once and in order, from 1 run
-    And it went on at another endpoint 1 times
-    And engines were asked only during the outage
+    And it was continued at other endpoints 1 times
+    And engines were probed only during the outage
 
   @tokens_once_in_order @at_most_once
   Scenario: a run was stopped, and no copy of its memory is known
-    Given 3 engines that garble moves
+    Given 3 engines that send invalid answers to moves
     And the gateway makes no copy before it stops a run
-    When a stream of 60 events is read and its endpoint says that it leaves midway
-    Then it was not run again, and its caller sees that it isn't whole
+    When a stream of 60 events is read and its endpoint announces that it leaves midway
+    Then it was not run again, and its caller can see that it is incomplete
 
   @tokens_once_in_order
-  Scenario: the answer to a move can't be read
-    Given 3 engines that garble moves
-    When a stream of 60 events is read and its endpoint says that it leaves midway
+  Scenario: the answer to a move is invalid
+    Given 3 engines that send invalid answers to moves
+    When a stream of 60 events is read and its endpoint announces that it leaves midway
     Then all events came once and in order, from 1 run
-    And it went on at another endpoint 0 times
-    And the gateway has logged no fault of its own
+    And it was continued at other endpoints 0 times
+    And the gateway has logged no internal error
 
-  # Three targets refused within some ms, since they had no room, and the stream was left
-  # to end with its engine 1.8 s later.
+  # Regression: three targets refused the move within a few ms for lack of memory, and the
+  # stream was left to end with its engine 1.8 s later.
   @tokens_once_in_order @planned_stop_cuts_nothing
-  Scenario: no target has room for a move at first
+  Scenario: at first no target has memory for a move
     Given 3 engines
-    When a stream of 100 events is read and its endpoint leaves, with no room elsewhere midway
+    When a stream of 100 events is read and its endpoint leaves, with no memory elsewhere midway
     Then all events came once and in order, from 1 run
-    And it went on at another endpoint 1 times
+    And it was continued at other endpoints 1 times
 
   @tokens_once_in_order
   Scenario: an endpoint crashes after the memory was copied
     Given 3 engines that crash after the first copy
-    When a stream of 60 events is read and its endpoint says that it leaves midway
+    When a stream of 60 events is read and its endpoint announces that it leaves midway
     Then all events came once and in order, from 1 run
 
   @tokens_once_in_order @planned_stop_cuts_nothing
-  Scenario: a stream goes on at its backup while its caller does not read
+  Scenario: a stream continues at its backup while its caller does not read
     Given 3 engines with slow links
     When a caller pauses a large stream of 400 events and its endpoint leaves
     Then all events came once and in order, from 1 run
-    And it went on at another endpoint 1 times
+    And it was continued at other endpoints 1 times
 
   @tokens_once_in_order
   Scenario: an endpoint crashes and there is a backup
@@ -83,67 +83,68 @@
     Then all events came once and in order, from 2 runs
 
   @tokens_once_in_order
-  Scenario: an endpoint goes dark and there is a backup
+  Scenario: an endpoint stops responding and there is a backup
     Given 3 engines
-    When a large stream of 300 events is read and its endpoint goes dark midway
+    When a large stream of 300 events is read and its endpoint stops responding midway
     Then all events came once and in order, from 1 run
-    And it went on at another endpoint 1 times
+    And it was continued at other endpoints 1 times
 
   @tokens_once_in_order
-  Scenario: an endpoint goes dark and the route's streams may be resumed
+  Scenario: an endpoint stops responding and the route's streams may be resumed
     Given 3 engines of a resumable route
-    When a stream of 60 events is read and its endpoint goes dark midway
+    When a stream of 60 events is read and its endpoint stops responding midway
     Then all events came once and in order, from 2 runs
 
   @tokens_once_in_order
-  Scenario: the events of an endpoint get lost on the way
+  Scenario: the events of an endpoint are lost on the way
     Given 3 engines
-    When a stream of 60 events is read and its endpoint makes events that get lost midway
+    When a stream of 60 events is read and its endpoint sends events that get lost midway
     Then all events came once and in order, from 1 run
-    And it went on at another endpoint 1 times
+    And it was continued at other endpoints 1 times
 
   @tokens_once_in_order
-  Scenario: an endpoint that works only pauses a stream
+  Scenario: a working endpoint pauses a stream
     Given 3 engines
-    When a large stream of 200 events is read and its endpoint pauses for long midway
+    When a large stream of 200 events is read and its endpoint pauses for a long time midway
     Then all events came once and in order, from 1 run
-    And it went on at another endpoint 0 times
-    And its endpoint was asked at least 1 and at most 4 times
+    And it was continued at other endpoints 0 times
+    And its endpoint was probed at least 1 and at most 4 times
 
   @tokens_once_in_order
-  Scenario: it was the gateway itself that stood still
+  Scenario: a suspended gateway does not mistake its own pause for a silent endpoint
     Given 3 engines
-    When a stream of 60 events is read and its endpoint and the gateway stand still midway
+    When a stream of 60 events is read and its endpoint and the gateway are suspended midway
     Then all events came once and in order, from 1 run
-    And its endpoint was asked at least 0 and at most 0 times
+    And its endpoint was probed at least 0 and at most 0 times
 
   @tokens_once_in_order
   Scenario: a stream breaks inside an event
     Given 1 engine that breaks inside an event
     When a stream of 30 events is read
-    Then only whole events came and the stream is visibly not whole
+    Then only complete events came and the stream is visibly incomplete
 
-  Scenario: a caller leaves its stream
+  Scenario: a caller disconnects from its stream
     Given 1 engine
-    When a caller leaves a stream midway
+    When a caller disconnects from a stream midway
     Then no engine works on it 0.3 seconds later
 
   @not_run_means_not_run
   Scenario: all engines refuse
     Given 2 engines that refuse
     When a stream of 30 events is read
-    Then the status is 503 with a time to come back, from 0 runs
+    Then the status is 503 with a Retry-After header, from 0 runs
 
   @not_run_means_not_run
   Scenario: no engine has memory for a long generation
     Given 2 engines
-    When streams are asked for while a peer tells that the engines are full
-    Then the long one is refused at once with a time to come back, and has not run
-    And the short one is whole
-
-  # Engines were full for some tenths of a second after others had left: 109 long
-  # generations were refused in one such day, and came back when their aim was over.
-  Scenario: the engines have memory again within the first token's aim
+    When streams are requested while a peer reports that the engines are full
+    Then the long one is refused at once with a Retry-After header, and has not run
+    And the short one is complete
+
+  # Regression: engines were full for a few tenths of a second after others had left. In
+  # one such day, 109 long generations were refused, and were retried only after their
+  # latency target had passed.
+  Scenario: the engines have memory again within the latency target of the first token
     Given 2 engines
-    When a stream is asked for, and the engines are full for 0.3 s more
-    Then it is whole, and its first event came 0.3 to 1.0 s after it was asked for
+    When a stream is requested, and the engines are full for 0.3 s more
+    Then it is complete, and its first event came 0.3 to 1.0 s after the request
--- a/features/steps/ingress_document_steps.py
+++ b/features/steps/ingress_document_steps.py
@@ -1,4 +1,4 @@
-"""Steps for documents that are large for the links they cross."""
+"""Steps for documents that take long to cross a link."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 KILOBYTE = 1_000
 KINDS_WATCHED = 3
-"""The configuration, the endpoints, the drained data halls."""
+"""Watches of one gateway: configuration, endpoints and drained data halls."""
 FIRST_VERSION = 4
 NEXT_VERSION = 8
 ADDED = "added"
@@ -116,7 +116,7 @@
 
 @when(
     "an operator adds {count:d} routes and edits them {edits:d} times, "
-    "each {pause:g} s after the last"
+    "{pause:g} s apart"
 )
 def add_and_edit(context, count, edits, pause):
     async def script(world):
@@ -137,7 +137,8 @@
 
 
 @when(
-    "an operator adds {count:d} routes, the first gateways know, and the store is gone"
+    "an operator adds {count:d} routes, the first gateways have them, "
+    "and the store goes down"
 )
 def add_and_lose_store(context, count):
     async def script(world):
@@ -189,13 +190,13 @@
     context.ingress.run(script)
 
 
-@then("the second counts it as living all the time")
+@then("the second counts it as live all the time")
 def check_living(context):
     assert context.fleet_sizes == {2}, context.fleet_sizes
 
 
 async def wait_for_watchers(world):
-    """Wait until only those watch the store of whom the others are to hear."""
+    """Wait until only the gateways that pass on changes watch the store."""
     await wait_for_peers(world)
     while world.store.counts.watches > KINDS_WATCHED * RELAYS_PER_HALL:
         await trio.sleep(0.02)
@@ -207,7 +208,7 @@
     return reply.status == 200
 
 
-@then("each gateway serves by it within {seconds:d} s")
+@then("each gateway serves an added route within {seconds:d} s")
 def check_served_everywhere(context, seconds):
     context.seconds = seconds
     context.ingress.run(context.script)
@@ -246,7 +247,7 @@
     return daemon._state.directory.get(identity) is not None
 
 
-@then("each gateway knows within {seconds:d} s")
+@then("each gateway knows that it leaves within {seconds:d} s")
 def check_known_everywhere(context, seconds):
     context.seconds = seconds
     context.ingress.run(context.script)
--- a/features/steps/ingress_silence_steps.py
+++ b/features/steps/ingress_silence_steps.py
@@ -1,4 +1,4 @@
-"""Steps for connections and stores that go silent while new calls work."""
+"""Steps for connections and stores that go silent."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 
 DEADLINE_MS = "400"
-"""Short enough for kept connections not to grow too old meanwhile."""
+"""Short enough for pooled connections to stay usable until the later calls."""
 
 
 async def open_links(world):
-    """Put a link before each endpoint, and start a gateway that uses them."""
+    """Put a proxy in front of each endpoint, and start a gateway that uses them."""
     links = []
     for endpoint in world.endpoints:
         link = FaultProxy(lambda endpoint=endpoint: ("127.0.0.1", endpoint.port))
@@ -48,21 +48,21 @@
     return links
 
 
-@given("a gateway before one desk endpoint that is reached over a link")
+@given("a gateway in front of one desk endpoint, reached over a link")
 def given_desk(context):
     context.ingress = IngressWorld()
     context.ingress._start_gateways = 0
     context.ingress.add_endpoints("desk", 1)
 
 
-@given("a gateway before two engines that are reached over links")
+@given("a gateway in front of two engines, reached over links")
 def given_engines(context):
     context.ingress = IngressWorld()
     context.ingress._start_gateways = 0
     context.ingress.add_endpoints("model", 2)
 
 
-@when("{count:d} calls have left kept connections, and all go silent for good")
+@when("{count:d} calls have left pooled connections, and all go silent permanently")
 def silence_calls(context, count):
     async def call(world):
         deadline = ("deadline-ms", DEADLINE_MS)
@@ -85,14 +85,14 @@
     context.ingress.run(script)
 
 
-@then("at most {most:d} of {count:d} later calls is lost")
+@then("at most {most:d} of {count:d} later calls fails")
 def check_lost(context, most, count):
     statuses = [reply.status for reply in context.replies]
     assert len(statuses) == count
     assert statuses.count(200) >= count - most, statuses
 
 
-@when("the connections go silent for good in the middle of a stream")
+@when("the connections go silent permanently in the middle of a stream")
 def silence_stream(context):
     async def script(world):
         links = await open_links(world)
@@ -106,7 +106,9 @@
     context.ingress.run(script)
 
 
-@when("the store falls silent and the engine of a stream leaves {seconds:g} s later")
+@when(
+    "the store falls silent and the leaving engine of a stream ends {seconds:g} s later"
+)
 def silence_the_store(context, seconds):
     async def script(world):
         await open_links(world)
@@ -126,7 +128,7 @@
         context.ingress.run(script)
 
 
-@then("the stream is whole, each event once and in order")
+@then("the stream is complete, each event once and in order")
 def check_stream(context):
     reply = context.reading.reply
     assert reply.is_whole, reply.events[-3:]
@@ -140,7 +142,7 @@
     context.ingress._start_gateways = 2
 
 
-@when("its connections to the store go silent for good and a route is added")
+@when("its connections to the store go silent permanently and a route is added")
 def silence_store(context):
     async def script(world):
         link = FaultProxy(lambda: ("127.0.0.1", world.store.port))
--- a/features/steps/ingress_store_steps.py
+++ b/features/steps/ingress_store_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the platform's store as a gateway follows it, and for leaving."""
+"""Steps for gateways that follow the platform's store, and for leaving."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 from standins.published_store import PublishedStore, StoreFault
 
 
-@when("a route is added while watches hear nothing and the history is dropped")
+@when("a route is added while watches deliver nothing and the history is dropped")
 def add_in_gap(context):
     async def script(world):
         world.store.is_deaf = True
         world.store.put("config", "main", with_route(8, "added"))
-        # Some watches end by themselves before the others are cut.
+        # Some watches time out before the others are cut.
         await trio.sleep(4.3)
         world.store.forget_history()
         world.store.cut_watches()
@@ -75,7 +75,9 @@
     context.ingress.run(script)
 
 
-@then("the gateway knows all of it, and no call came sooner than 30 ms after a change")
+@then(
+    "the gateway knows all changes, and no call came sooner than 30 ms after a change"
+)
 def check_calls_together(context):
     first = context.changed_at[0]
     later = [at for at in context.calls if at > first]
@@ -104,18 +106,18 @@
     context.ingress.run(script)
 
 
-@then("it knows each that registered")
+@then("it knows each registered endpoint")
 def check_all_known(context):
     assert context.known == context.registered
 
 
-@then("it asked for changes of endpoints at most {most:d} times")
+@then("it requested changes of endpoints at most {most:d} times")
 def check_asked(context, most):
     assert context.asked.count("servers") <= most, context.asked
 
 
 async def cut_second_from_store(world, fault):
-    """Give the second gateway another store, that does not answer."""
+    """Connect the second gateway to another store, which has the given fault."""
     _, second = world.gateways[1]
     cut = PublishedStore()
     cut.fault = fault
@@ -125,7 +127,7 @@
         follower.restart()
 
 
-@when("reports come each 10 s and a route is added that the second hears of by peers")
+@when("reports are sent every 10 s and the second learns of an added route from peers")
 def add_in_large_fleet(context):
     async def script(world):
         await wait_for_peers(world)
@@ -134,7 +136,7 @@
             patch.object(report_pace, "REPORTS_A_SECOND", 0.1),
             patch.object(report_pace, "PASSED_ON_BY", 0),
         ):
-            # The wait for a report that is under way was a short one.
+            # The current wait for the next report still uses the usual interval.
             await trio.sleep(0.5)
             world.store.put("config", "main", with_route(8, "added"))
             with trio.move_on_after(IN_FORCE_SECONDS):
@@ -162,7 +164,7 @@
     context.ingress.run(script)
 
 
-@when("the store goes back to an older configuration")
+@when("the store returns to an older configuration")
 def go_back(context):
     async def script(world):
         world.store.put("config", "main", with_route(8, "added"))
@@ -179,7 +181,7 @@
     assert context.reply.status == 200
 
 
-@when("a call's answer breaks off and the call is cancelled at once")
+@when("a call's answer is cut off and the call is cancelled at once")
 def break_and_cancel(context):
     given_sound(context)
     context.ingress._start_gateways = 0
@@ -191,7 +193,7 @@
 
             async def break_off(connection):
                 scope.cancel()
-                raise ExchangeBrokenError("the answer broke off")
+                raise ExchangeBrokenError("the answer was cut off")
 
             with patch.object(ClientConnection, "read_head", break_off):
                 await client.list("config")
@@ -206,7 +208,7 @@
     assert [item.name for item in context.listed.objects] == ["main"]
 
 
-@when("the store goes out and a third gateway starts")
+@when("the store goes down and a third gateway starts")
 def start_third(context):
     async def script(world):
         await wait_for_peers(world)
@@ -222,7 +224,7 @@
     assert context.reply.status == 200
 
 
-@given("a gateway that starts while the store is out")
+@given("a gateway that starts while the store is down")
 def given_outage(context):
     given_sound(context)
     context.ingress._start_gateways = 0
@@ -239,19 +241,19 @@
     context.ingress.run(script)
 
 
-@then("it is not ready and answers 503 with a time to come back")
+@then("it is not ready and answers 503 with a Retry-After header")
 def check_not_ready(context):
     assert not context.was_ready
     assert context.reply.status == 503
     assert float(context.reply.headers["retry-after"]) > 0
 
 
-@then("it serves when the store is back")
+@then("it serves once the store has recovered")
 def check_back(context):
     assert context.later.status == 200
 
 
-@when("all entries lapse in an outage and one is not back after it")
+@when("all entries expire in an outage and one does not return after it")
 def lapse(context):
     async def script(world):
         world.store.fault = StoreFault.RESET
@@ -273,7 +275,7 @@
     context.ingress.run(script)
 
 
-@then("no request is refused meanwhile")
+@then("no request is refused during that time")
 def check_no_refusal(context):
     assert set(context.during) == {200}, context.during
 
@@ -288,11 +290,11 @@
 def leave_endpoint(context, leaves):
     async def script(world):
         first = world.endpoints[0]
-        if leaves == "is gone from the list":
+        if leaves == "is removed from the list":
             world.store.remove("servers", first.identity)
         else:
             world.list_endpoint(first, "draining")
-        if leaves.endswith("then not"):
+        if leaves.endswith("then that it is ready"):
             await trio.sleep(0.1)
             world.list_endpoint(first, "ready")
         await trio.sleep(0.2)
@@ -334,7 +336,7 @@
     context.ingress.run(script)
 
 
-@then("a stream that may not end in time is refused at once, unrun, to come back now")
+@then("a stream that may not end in time is refused unrun, for an immediate retry")
 def check_refused_leaving(context):
     assert context.idle_was_closed
     assert context.refused.status == 503
@@ -343,12 +345,12 @@
     assert context.ingress.runs("model") == 2
 
 
-@then("it is not ready at once")
+@then("it immediately reports that it is not ready")
 def check_unready(context):
     assert not context.was_ready
 
 
-@then("the stream ends whole and so does a request sent after the stop")
+@then("the stream is completed, and so is a request sent after the stop")
 def check_stopped_whole(context):
     # The other run is that of a short stream sent after the stop.
     check_stream(context, 2)
--- a/features/steps/ingress_stream_steps.py
+++ b/features/steps/ingress_stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps for streams through a gateway of the platform."""
+"""Steps for streams through a gateway."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 STILL_PROCESS_SECONDS = 0.8
-"""Long enough for an endpoint to seem silent, were it not the process itself."""
+"""Pause of the whole process, long enough for an endpoint to seem silent."""
 
 
 SILENT_SECONDS = 2.5
@@ -39,7 +39,7 @@
 
 
 LARGE_SIZE = "11000,{}"
-"""Prompt tokens that don't get away in a notice's time, so that a backup is made."""
+"""More prompt tokens than can be copied after a notice, so that a backup is made."""
 
 
 @given("{count:d} engine")
@@ -58,7 +58,7 @@
     context.crash_after_copy = "crash" in habit
     if habit == "a resumable route":
         context.ingress.configuration["routes"][2]["stream_resume"] = True
-    if habit == "garble moves":
+    if habit == "send invalid answers to moves":
         for endpoint in context.ingress.endpoints:
             endpoint.move_answer = b"\x00 no answer"
         context.ingress.log_output, context.log = tempfile.mkstemp()
@@ -81,7 +81,7 @@
             nursery.start_soon(context.reading.read)
             await context.reading.wait_events(100)
             source = context.reading.running_at()
-            # Until the gateway can send no more, and its backup is complete.
+            # By then the gateway can send no more, and the backup is complete.
             await trio.sleep(1.2)
             world.list_endpoint(source, "draining")
             await trio.sleep(0.3)
@@ -161,7 +161,7 @@
     reading.running_at().state = "draining"
 
 
-@then("engines were asked only during the outage")
+@then("engines were probed only during the outage")
 def check_asked(context):
     world = context.ingress
     assert world.asked_before == 0
@@ -175,7 +175,7 @@
 async def fall_silent(world, reading, silence):
     world.silent = reading.running_at()
     world.silent.silence = silence
-    # Longer than it takes to be asked, and to be given up.
+    # Longer than it takes to be probed and given up.
     with trio.move_on_after(SILENT_SECONDS):
         while not any(e.continued["abc"] for e in world.endpoints):
             await trio.sleep(0.01)
@@ -199,15 +199,15 @@
 
 
 DISTURBANCES = {
-    "pauses for long": pause,
-    "makes events that get lost": lose_events,
-    "goes dark": go_dark,
-    "and the gateway stand still": stand_still_midway,
-    "says that it leaves": say_leaving,
-    "is gone from the list": drop_from_list,
-    "leaves, and its target leaves": leave_twice,
-    "leaves, with no room elsewhere": leave_without_room,
-    "leaves in an outage": leave_in_outage,
+    "pauses for a long time": pause,
+    "sends events that get lost": lose_events,
+    "stops responding": go_dark,
+    "and the gateway are suspended": stand_still_midway,
+    "announces that it leaves": say_leaving,
+    "is removed from the list": drop_from_list,
+    "leaves, and then its target leaves": leave_twice,
+    "leaves, with no memory elsewhere": leave_without_room,
+    "leaves in a store outage": leave_in_outage,
     "crashes": crash,
 }
 
@@ -222,13 +222,13 @@
     assert context.ingress.runs("model") == runs
 
 
-@then("its endpoint was asked at least {least:d} and at most {most:d} times")
+@then("its endpoint was probed at least {least:d} and at most {most:d} times")
 def check_questions(context, least, most):
     asked = sum(e.reports for e in context.ingress.endpoints)
     assert least <= asked <= most, asked
 
 
-@then("the gateway has logged no fault of its own")
+@then("the gateway has logged no internal error")
 def check_no_fault(context):
     _, daemon = context.ingress.gateways[0]
     lines = Path(context.log).read_bytes() + b"".join(daemon._log._handler.lines)
@@ -236,7 +236,7 @@
     assert b"internal_error" not in lines
 
 
-@then("it went on at another endpoint {times:d} times")
+@then("it was continued at other endpoints {times:d} times")
 def check_continued(context, times):
     total = sum(e.continued["abc"] for e in context.ingress.endpoints)
     assert total == times, total
@@ -251,14 +251,14 @@
     assert context.ingress.runs("model") == runs
 
 
-@then("only whole events came and the stream is visibly not whole")
+@then("only complete events came and the stream is visibly incomplete")
 def check_whole_events(context):
     reply = context.reading.reply
     assert reply.body == b"id: 1\ndata: token-1\n\n", reply.body
     assert not reply.is_whole
 
 
-@then("the status is 503 with a time to come back, from 0 runs")
+@then("the status is 503 with a Retry-After header, from 0 runs")
 def check_refused_stream(context):
     reply = context.reading.reply
     assert reply.status == 503
@@ -266,7 +266,7 @@
     assert context.ingress.runs("model") == 0
 
 
-@when("streams are asked for while a peer tells that the engines are full")
+@when("streams are requested while a peer reports that the engines are full")
 def ask_crowded(context):
     async def script(world):
         _, daemon = world.gateways[0]
@@ -283,7 +283,7 @@
     context.ingress.run(script)
 
 
-@then("the long one is refused at once with a time to come back, and has not run")
+@then("the long one is refused at once with a Retry-After header, and has not run")
 def check_crowded(context):
     reply = context.reading.reply
     assert reply.status == 503
@@ -293,7 +293,7 @@
     assert context.long_runs == 0
 
 
-@when("a stream is asked for, and the engines are full for {seconds:g} s more")
+@when("a stream is requested, and the engines are full for {seconds:g} s more")
 def ask_full_for_now(context, seconds):
     for route in context.ingress.configuration["routes"]:
         route["target_latency_ms"] = 1_800
@@ -316,20 +316,20 @@
 
 
 @then(
-    "it is whole, and its first event came {least:g} to {most:g} s after it was asked for"
+    "it is complete, and its first event came {least:g} to {most:g} s after the request"
 )
 def check_waited(context, least, most):
     assert context.reading.reply.events == list(range(1, 201))
     assert least <= context.seconds <= most, context.seconds
 
 
-@then("the short one is whole")
+@then("the short one is complete")
 def check_short(context):
     assert context.short.reply.events == list(range(1, 11))
     assert context.short.reply.is_whole
 
 
-@when("a caller leaves a stream midway")
+@when("a caller disconnects from a stream midway")
 def leave_stream(context):
     async def script(world):
         reading = Reading(world, 400, SMALL_SIZE)
@@ -352,11 +352,11 @@
 def given_no_first_copies(context):
     context.ingress.disabled = frozenset({Mechanism.FIRST_COPIES})
     for endpoint in context.ingress.endpoints:
-        # The stream's end comes before the answer that names no copy.
+        # The end of the stream arrives before the answer, which names no copy.
         endpoint.stop_answer_seconds = 0.1
 
 
-@then("it was not run again, and its caller sees that it isn't whole")
+@then("it was not run again, and its caller can see that it is incomplete")
 def check_not_again(context):
     assert context.ingress.runs("model") == 1, context.ingress.runs("model")
     assert not context.reading.reply.is_whole
--- a/features/support/paced_link.py
+++ b/features/support/paced_link.py
@@ -1,4 +1,4 @@
-"""A link of a given rate that the connections of one process share."""
+"""A link of limited bandwidth that the connections of one process share."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PacedLink:
-    """Lets so many bytes pass in a second, a chunk of each connection in turn."""
+    """Limits the bytes a second of all connections together, chunk by chunk."""
 
     def __init__(self, bytes_per_second: float) -> None:
         self.passed = 0
@@ -28,7 +28,7 @@
 
 
 class PacedStream:
-    """A connection that sends over a paced link, and breaks after some bytes."""
+    """A connection that sends over a paced link and breaks after a number of bytes."""
 
     def __init__(
         self, stream: trio.SocketStream, link: PacedLink, breaks_after: float = inf
--- a/features/support/stream_reading.py
+++ b/features/support/stream_reading.py
@@ -1,4 +1,4 @@
-"""A stream that is read while something happens, and helpers of gateways under way."""
+"""A stream that is read while something happens, and waits for states of gateways."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
             await self.go_on.wait()
 
     def seen(self):
-        """Return how many events came; each part is looked at once."""
+        """Return how many events were received; each chunk is scanned once."""
         for part in self.parts[self._counted_parts :]:
             text = self._tail + part
             self._seen += text.count(EVENT_START)
