--- a/src/piershore/ingress/followers/configuration_follower.py
+++ b/src/piershore/ingress/followers/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Follows the operators' configuration in the store or, during an outage, at peers."""
+"""Follows the operators' configuration in the store or at peers."""
 
 from __future__ import annotations
 
--- a/src/piershore/ingress/followers/drain_follower.py
+++ b/src/piershore/ingress/followers/drain_follower.py
@@ -16,8 +16,8 @@
 KEPT_SECONDS = 3.0
 """How long a drain stays in force that is missing after the store was restored from an
 older copy: operators write lost drains again. Without this delay, requests would reach
-a data hall that is being emptied until then; with it, a data hall whose drain is no
-longer wanted stays idle for this time."""
+a data hall that is being emptied until its drain is written again; with it, a data hall
+whose drain is no longer wanted stays idle for this time."""
 SWEEP_SECONDS = 0.25
 
 OnDrained = Callable[[DrainedHalls, frozenset[str], str], None]
--- a/src/piershore/ingress/followers/endpoint_follower.py
+++ b/src/piershore/ingress/followers/endpoint_follower.py
@@ -1,4 +1,4 @@
-"""Follows the platform's list of endpoints in the store or, in an outage, at peers."""
+"""Follows the platform's list of endpoints in the store or at peers."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     def take_from_peer(
         self, endpoints: Iterable[Endpoint], revision: StoreRevision
     ) -> None:
-        """Apply a peer's list, if it is newer, while the store can't be read."""
+        """Apply a peer's list if it is newer; used without a watch of the store."""
         if revision > self._state.directory.revision:
             self._take_all(tuple(endpoints), revision, after_outage=False)
 
--- a/src/piershore/ingress/streams/silence_watch.py
+++ b/src/piershore/ingress/streams/silence_watch.py
@@ -48,10 +48,7 @@
 
 
 class SilenceWatch:
-    """Probes endpoints that have fallen silent, and continues their streams elsewhere.
-
-    Streams stay where they are while their endpoint works or there is no other place.
-    """
+    """Probes endpoints that have fallen silent, and continues streams elsewhere."""
 
     def __init__(
         self,
