--- a/devtools/bench/call_simulation.py
+++ b/devtools/bench/call_simulation.py
@@ -16,25 +16,25 @@
 from devtools.bench.simulated_fleet import gateway_name
 from devtools.bench.virtual_time import VirtualTime
 from devtools.rate_window import CONTACT_SECONDS, most_in_window, TOLD_SECONDS
-from piershore.core.attempts.attempt_outcome import MOST_PROVEN_UNRUN
-from piershore.core.attempts.retry_allowance import RetryAllowance, RetryLimits
-from piershore.core.fleet.asked_rests import AskedRests
+from piershore.core.attempts.attempt_outcome import MAX_UNRUN_REFUSALS
+from piershore.core.attempts.retry_budget import RetryBudget, RetryLimits
 from piershore.core.fleet.cold_starts import ColdStarts
+from piershore.core.fleet.data_hall_stalls import DataHallStalls
 from piershore.core.fleet.endpoint import Address, Endpoint, EndpointStage
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
 from piershore.core.fleet.endpoint_health import EndpointHealth
-from piershore.core.fleet.endpoint_notice import EndpointNotice, PLAIN_NOTICE
+from piershore.core.fleet.endpoint_notice import EndpointNotice, UNRESTRICTED_NOTICE
 from piershore.core.fleet.endpoint_rate_limits import EndpointRateLimits
 from piershore.core.fleet.fleet_load import FleetLoad, PlainWork
-from piershore.core.fleet.hall_stalls import HallStalls
-from piershore.core.fleet.heard_notices import HeardNotices
+from piershore.core.fleet.notice_handler import NoticeHandler
 from piershore.core.fleet.placement import Placement
 from piershore.core.fleet.placement_policy import (
     DEFAULT_PLACEMENT,
     PLACEMENT_POLICIES,
 )
 from piershore.core.fleet.rate_shares import RateShares
-from piershore.core.fleet.report_pace import report_interval
+from piershore.core.fleet.report_timing import report_interval
+from piershore.core.fleet.requested_backoffs import RequestedBackoffs
 from piershore.core.fleet.subsetting import EndpointSubsets
 from piershore.core.routes.current_configuration import CurrentConfiguration
 
@@ -101,15 +101,15 @@
         self.name = gateway_name(number)
         self.directory = EndpointDirectory()
         self.loads = FleetLoad()
-        self.allowance = RetryAllowance(settings.retries)
-        self.rests = AskedRests()
+        self.allowance = RetryBudget(settings.retries)
+        self.rests = RequestedBackoffs()
         self.health = EndpointHealth()
         subsets = EndpointSubsets(self.name, self.directory)
         subsets.set_peers(map(gateway_name, range(settings.gateways)))
         configuration = CurrentConfiguration()
         shares = RateShares(self.name, subsets, configuration)
         self.limits = settings.limits(shares)
-        self.heard = HeardNotices(self.directory, self.rests, self.limits)
+        self.heard = NoticeHandler(self.directory, self.rests, self.limits)
         self.placement = Placement(
             HALLS[number % len(HALLS)],
             self.directory,
@@ -117,7 +117,7 @@
             self.health,
             Random(seed + number),
             PLACEMENT_POLICIES[DEFAULT_PLACEMENT](),
-            HallStalls(),
+            DataHallStalls(),
             subsets,
             ColdStarts(shares, configuration),
             self.rests,
@@ -201,7 +201,7 @@
         self._at(self._random.expovariate(self.settings.rate), self._arrive)
         call = Call(self._random.choice(self._gateways), self._now)
         self.calls.append(call)
-        call.gateway.allowance.note_request(self._now)
+        call.gateway.allowance.record_request(self._now)
         self._try(call)
 
     def _report(self) -> None:
@@ -212,7 +212,7 @@
             loads = gateway.loads.own_loads()
             told = gateway.limits.report(self._now)
             for peer in self._others(gateway):
-                peer.loads.take_report(gateway.name, loads, self._now)
+                peer.loads.apply_report(gateway.name, loads, self._now)
                 list(peer.limits.apply_report(told, self._now))
 
     def _others(self, gateway: _Gateway) -> Iterable[_Gateway]:
@@ -267,9 +267,9 @@
     ) -> None:
         gateway = call.gateway
         gateway.loads.remove(endpoint.identity, work)
-        gateway.heard.take(endpoint, notice, self._now)
-        gateway.health.note_refusal(endpoint.identity, self._now)
-        is_last = len(call.tried) >= MOST_PROVEN_UNRUN
+        gateway.heard.apply(endpoint, notice, self._now)
+        gateway.health.record_refusal(endpoint.identity, self._now)
+        is_last = len(call.tried) >= MAX_UNRUN_REFUSALS
         if is_last or not gateway.allowance.spend(self._now, len(self._gateways)):
             call.is_refused = True
             return
@@ -290,16 +290,16 @@
         gateway = call.gateway
         gateway.loads.remove(endpoint.identity, work)
         call.answered_at = self._now
-        gateway.health.note_success(endpoint.identity)
+        gateway.health.record_success(endpoint.identity)
         if is_asking:
             self.asked_at[gateway.name, endpoint.identity].append(self._now)
         notice = self._notice(is_asking=is_asking)
-        for departure in gateway.heard.take(endpoint, notice, self._now).departures:
+        for departure in gateway.heard.apply(endpoint, notice, self._now).departures:
             self._tell(gateway, departure.endpoint.identity)
 
     def _notice(self, *, is_asking: bool) -> EndpointNotice:
         if not is_asking:
-            return PLAIN_NOTICE
+            return UNRESTRICTED_NOTICE
         return EndpointNotice(
             is_leaving=self.settings.leaves, rate_limit=self.settings.rate_limit
         )
--- a/devtools/bench/crash_simulation.py
+++ b/devtools/bench/crash_simulation.py
@@ -20,9 +20,9 @@
 )
 from piershore.core.fleet.generation_work import GenerationSize, GenerationWork
 from piershore.core.fleet.length_estimate import LengthEstimate
-from piershore.core.quarantine.crash_note import CrashNote
+from piershore.core.quarantine.crash_report import CrashReport
 from piershore.core.quarantine.endpoint_runs import EndpointRun, EndpointRuns
-from piershore.core.quarantine.quarantine import MOST_CRASHES, Quarantine
+from piershore.core.quarantine.quarantine import CRASHES_BEFORE_QUARANTINE, Quarantine
 
 CRASH_SECONDS = 0.1
 """From the begin of the request's run to the engine's crash."""
@@ -43,7 +43,7 @@
 
     repeat_every: float
     lost_share: float = 0.0
-    most_crashes: int = MOST_CRASHES
+    most_crashes: int = CRASHES_BEFORE_QUARANTINE
 
 
 @dataclass
@@ -98,7 +98,7 @@
         """Send the request to an engine, unless the gateway holds it."""
         gateway = stream.gateway
         quarantine = self._known[gateway.name].quarantine
-        if quarantine.seconds_held(CRASHING, self._now) is not None:
+        if quarantine.seconds_until_release(CRASHING, self._now) is not None:
             self.refused += 1
             return
         choice = gateway.placement.for_generation(
@@ -106,7 +106,7 @@
         )
         if choice is None:
             return
-        if quarantine.note_sent(CRASHING, self._now):
+        if quarantine.record_sent(CRASHING, self._now):
             self._tell(gateway, CRASHING)
         engine = self._engines[choice.endpoint.identity]
         self._begin_run(stream, engine)
@@ -126,11 +126,11 @@
         for gateway in self._gateways:
             known = self._known[gateway.name]
             for run in list(known.runs.suspects(identity, self._now)):
-                if known.quarantine.note_crash(run.content, identity, self._now):
+                if known.quarantine.record_crash(run.content, identity, self._now):
                     self._tell(gateway, run.content)
 
     def _tell(self, gateway: SimulatedGateway, content: str) -> None:
-        note = self._known[gateway.name].quarantine.note(content)
+        note = self._known[gateway.name].quarantine.report(content)
         for pause in (0.0, REPEAT_SECONDS):
             for peer in self._heard_by(gateway):
                 self._at(pause + NETWORK_SECONDS, self._take, peer, note)
@@ -141,8 +141,8 @@
             if peer is not gateway and not is_lost:
                 yield peer
 
-    def _take(self, gateway: SimulatedGateway, note: CrashNote) -> None:
-        self._known[gateway.name].quarantine.take(note, self._now)
+    def _take(self, gateway: SimulatedGateway, note: CrashReport) -> None:
+        self._known[gateway.name].quarantine.apply_report(note, self._now)
 
     def _content(self, stream: FleetStream) -> str:
         return self._contents.get(stream.identity, stream.identity)
@@ -167,13 +167,15 @@
 
     def _progress(self, stream: FleetStream) -> None:
         super()._progress(stream)
-        self._open_runs[stream.identity][1].note_part(self._now)
+        self._open_runs[stream.identity][1].record_chunk(self._now)
 
     def _finish(self, stream: FleetStream) -> None:
         super()._finish(stream)
         self._end_run(stream)
         content = self._content(stream)
-        if self._known[stream.gateway.name].quarantine.note_whole(content, self._now):
+        if self._known[stream.gateway.name].quarantine.record_completion(
+            content, self._now
+        ):
             self._tell(stream.gateway, content)
 
     def _lose(self, stream: FleetStream) -> None:
@@ -182,7 +184,7 @@
         identity, run = self._open_runs.pop(stream.identity, (None, None))
         if run is not None:
             runs = self._known[stream.gateway.name].runs
-            runs.leave(identity, run, self._now)
+            runs.abandon(identity, run, self._now)
         if stream.identity in self._contents or self._is_over:
             return
         self.came_back += 1
@@ -193,7 +195,7 @@
         stream.identity = f"{lost.identity}-{next(self._tries)}"
         self._contents[stream.identity] = self._content(lost)
         quarantine = self._known[stream.gateway.name].quarantine
-        if quarantine.seconds_held(self._content(lost), self._now) is not None:
+        if quarantine.seconds_until_release(self._content(lost), self._now) is not None:
             self.innocents_refused += 1
             return
         stream.gateway.streams[stream.identity] = stream
--- a/devtools/bench/fleet_experiment.py
+++ b/devtools/bench/fleet_experiment.py
@@ -15,7 +15,7 @@
 from devtools.bench.fleet_simulation import FleetRun
 from devtools.bench.simulated_fleet import FleetStream
 from piershore.core.fleet.placement_policy import PLACEMENT_POLICIES
-from piershore.core.fleet.report_pace import report_interval
+from piershore.core.fleet.report_timing import report_interval
 
 SEED = 2_000
 SEEDS = 5
--- a/devtools/bench/fleet_simulation.py
+++ b/devtools/bench/fleet_simulation.py
@@ -30,23 +30,23 @@
     SimulatedGateway,
 )
 from devtools.bench.virtual_time import VirtualTime
-from piershore.core.fleet.backup_choice import backup_room, has_room
+from piershore.core.fleet.backup_policy import backup_memory_limit, fits_backup
 from piershore.core.fleet.endpoint import Endpoint
 from piershore.core.fleet.endpoint_load import EndpointLoad
 from piershore.core.fleet.evacuation_plan import (
-    MoveWay,
+    MoveMethod,
     plan_evacuation,
     PlannedMove,
 )
 from piershore.core.fleet.fleet_load import BackupWork
 from piershore.core.fleet.generation_admission import (
-    come_back_seconds,
     has_memory,
+    retry_after_seconds,
 )
 from piershore.core.fleet.generation_work import GenerationSize, GenerationWork
 from piershore.core.fleet.length_estimate import LENGTH_EXPECTATIONS
-from piershore.core.fleet.report_pace import SHORTEST_GAP_SECONDS
-from piershore.core.fleet.room_wait import RoomWait, waiting_seconds
+from piershore.core.fleet.memory_wait import max_memory_wait_seconds, MemoryWait
+from piershore.core.fleet.report_timing import MIN_TRIGGERED_INTERVAL_SECONDS
 
 
 class FleetRun(VirtualTime):
@@ -107,9 +107,9 @@
         for peer in self._gateways:
             if peer is not gateway:
                 self._at(
-                    NETWORK_SECONDS, peer.loads.take_report, gateway.name, loads, 0.0
+                    NETWORK_SECONDS, peer.loads.apply_report, gateway.name, loads, 0.0
                 )
-                peer.lengths.take_report(gateway.name, lengths, self._now)
+                peer.lengths.apply_report(gateway.name, lengths, self._now)
 
     def _tell_start(self, gateway: SimulatedGateway, endpoint: Endpoint) -> None:
         """Tell those who should know at once of the gateway's load at an engine."""
@@ -117,8 +117,8 @@
         for peer in self._told_of_starts(gateway, endpoint):
             self.messages += 1
             self._at(
-                NETWORK_SECONDS + SHORTEST_GAP_SECONDS,
-                peer.loads.take_part,
+                NETWORK_SECONDS + MIN_TRIGGERED_INTERVAL_SECONDS,
+                peer.loads.apply_update,
                 gateway.name,
                 endpoint.identity,
                 load,
@@ -158,7 +158,7 @@
         estimate = gateway.lengths.estimate(str(is_long), size, self._now)
         work = GenerationWork(size, estimate, self._expectation)
         identity = f"s-{len(self.streams)}"
-        wait = RoomWait(random)
+        wait = MemoryWait(random)
         return FleetStream(identity, gateway, work, length, self._now, wait)
 
     def _place(self, stream: FleetStream) -> None:
@@ -184,10 +184,10 @@
     def _takes_room(self, stream: FleetStream, load: EndpointLoad) -> bool:
         """Tell whether a stream starts now; else it looks again, or is refused."""
         has_room = has_memory(load, stream.work, self._engine)
-        pause = stream.wait.next_pause(has_room=has_room)
+        pause = stream.wait.next_pause(has_memory=has_room)
         until = stream.arrived_at
         if self._settings.waits:
-            until += waiting_seconds(FIRST_AIM_SECONDS)
+            until += max_memory_wait_seconds(FIRST_AIM_SECONDS)
         if pause is not None and self._now + pause <= until:
             self._at(pause, self._place, stream)
             return False
@@ -201,10 +201,10 @@
         if stream.refusals > 1:
             self._forget(stream)
             return
-        seconds = come_back_seconds(load) * self._random.uniform(0.75, 1.25)
+        seconds = retry_after_seconds(load) * self._random.uniform(0.75, 1.25)
         stream.came_back_after += self._now + seconds - stream.arrived_at
         stream.arrived_at = self._now + seconds
-        stream.wait = RoomWait(self._random)
+        stream.wait = MemoryWait(self._random)
         self._at(seconds, self._place, stream)
 
     def _run_at(
@@ -221,7 +221,7 @@
         self._wake(engine)
 
     def _back_up(self, stream: FleetStream, load: EndpointLoad) -> None:
-        room = backup_room(load, stream.work, self._engine)
+        room = backup_memory_limit(load, stream.work, self._engine)
         if not self._settings.moves or room is None:
             return
         gateway = stream.gateway
@@ -232,7 +232,9 @@
             self._now,
             [stream.engine.endpoint.identity],
         )
-        if choice is None or not has_room(choice.load, stream.work, self._engine, room):
+        if choice is None or not fits_backup(
+            choice.load, stream.work, self._engine, room
+        ):
             return
         stream.backup = self._engines[choice.endpoint.identity]
         stream.backup_work = BackupWork(stream.work)
@@ -333,7 +335,7 @@
     def _start_move(
         self, stream: FleetStream, source: SimulatedEngine, move: PlannedMove
     ) -> None:
-        if move.way is MoveWay.BACKUP and stream.backup is not None:
+        if move.method is MoveMethod.BACKUP and stream.backup is not None:
             self._move(stream, source, stream.backup)
             return
         target = self._engines.get(move.target.identity)
@@ -341,7 +343,7 @@
             return
         is_near = target.endpoint.data_hall == source.endpoint.data_hall
         seconds = self._engine.copy_seconds(
-            stream.work.held_tokens, within_hall=is_near
+            stream.work.held_tokens, within_data_hall=is_near
         )
         self._at(move.start + seconds, self._move, stream, source, target)
 
--- a/devtools/bench/rate_limit_experiment.py
+++ b/devtools/bench/rate_limit_experiment.py
@@ -15,7 +15,7 @@
 from devtools.rate_window import CONTACT_SECONDS, WINDOW_SECONDS
 from piershore.core.fleet.endpoint_rate_limits import (
     EndpointRateLimits,
-    quota_of,
+    fleet_quota,
     RateQuota,
 )
 from piershore.core.fleet.rate_shares import RateShares, Share
@@ -51,11 +51,11 @@
     """Two gateways, the same ones for all, may send; the others don't."""
 
     def _quota(self, rate: float, share: Share) -> RateQuota:
-        quota = quota_of(rate, min(OWNERS, share.gateways))
+        quota = fleet_quota(rate, min(OWNERS, share.gateways))
         owners = min(OWNERS, share.gateways)
         if share.rank >= owners:
             return RateQuota(0, quota.window)
-        return RateQuota(Share(share.rank, owners).part(quota.requests), quota.window)
+        return RateQuota(Share(share.rank, owners).quota(quota.requests), quota.window)
 
 
 WAYS: dict[str, Callable[[RateShares], EndpointRateLimits]] = {
--- a/devtools/bench/simulated_fleet.py
+++ b/devtools/bench/simulated_fleet.py
@@ -7,21 +7,21 @@
 from random import Random
 
 from devtools.bench.fleet_settings import ENGINE, FleetSettings, HALLS, SERVICE
-from piershore.core.fleet.asked_rests import AskedRests
 from piershore.core.fleet.cold_starts import ColdStarts
+from piershore.core.fleet.data_hall_stalls import DataHallStalls
 from piershore.core.fleet.endpoint import Address, Endpoint, EndpointStage
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
 from piershore.core.fleet.endpoint_health import EndpointHealth
 from piershore.core.fleet.endpoint_rate_limits import EndpointRateLimits
-from piershore.core.fleet.evacuation_plan import StreamNote
+from piershore.core.fleet.evacuation_plan import StreamReport
 from piershore.core.fleet.fleet_load import BackupWork, FleetLoad
 from piershore.core.fleet.generation_work import GenerationWork
-from piershore.core.fleet.hall_stalls import HallStalls
+from piershore.core.fleet.memory_wait import MemoryWait
 from piershore.core.fleet.output_lengths import OutputLengths
 from piershore.core.fleet.placement import Placement
 from piershore.core.fleet.placement_policy import PLACEMENT_POLICIES
 from piershore.core.fleet.rate_shares import RateShares
-from piershore.core.fleet.room_wait import RoomWait
+from piershore.core.fleet.requested_backoffs import RequestedBackoffs
 from piershore.core.fleet.subsetting import EndpointSubsets
 from piershore.core.mechanism import Mechanism
 from piershore.core.routes.current_configuration import CurrentConfiguration
@@ -53,7 +53,7 @@
     work: GenerationWork
     length: int
     arrived_at: float
-    wait: RoomWait
+    wait: MemoryWait
     engine: SimulatedEngine | None = None
     backup: SimulatedEngine | None = None
     backup_work: BackupWork | None = None
@@ -112,19 +112,19 @@
             EndpointHealth(),
             Random(seed + number),
             PLACEMENT_POLICIES[settings.policy](),
-            HallStalls(),
+            DataHallStalls(),
             self.subsets,
             ColdStarts(shares, configuration),
-            AskedRests(),
+            RequestedBackoffs(),
             EndpointRateLimits(shares),
             frozenset() if settings.subsets else {Mechanism.SUBSETS},
         )
 
-    def notes_at(self, engine: SimulatedEngine) -> Iterator[StreamNote]:
+    def notes_at(self, engine: SimulatedEngine) -> Iterator[StreamReport]:
         """Yield what this gateway tells of its streams at an engine that leaves."""
         for stream in self.streams.values():
             if stream.engine is engine:
-                yield StreamNote(
+                yield StreamReport(
                     stream.identity,
                     stream.work.held_tokens,
                     stream.work.has_begun,
--- a/devtools/bench/simulation.py
+++ b/devtools/bench/simulation.py
@@ -13,8 +13,8 @@
 from piershore.core.admission.candidate import Candidate
 from piershore.core.admission.engine_queue import EngineQueue
 from piershore.core.configuration.objects import AdmissionSettings
-from piershore.core.routing.endpoint_choice import CHOICES
 from piershore.core.routing.endpoint_state import EndpointState, LoadReport
+from piershore.core.routing.load_balancing_policy import LOAD_BALANCING_POLICIES
 from standins.engine_model import EngineModel, EngineSettings
 
 STALL_SECONDS = 0.25
@@ -100,9 +100,9 @@
             self._result.preemptions += 1
         for identity in done.finished:
             self.records[identity].finished = True
-            self.queue.finish(identity, whole=True)
+            self.queue.finish(identity, is_complete=True)
             self._changed = True
-        self.queue.step(len(done.progressed), done.batch, done.duration, end)
+        self.queue.record_step(len(done.progressed), done.batch, done.duration, end)
         return end
 
     def reclaim(self) -> list[Candidate]:
@@ -113,7 +113,7 @@
             if record.finished:
                 continue
             self.model.cancel(identity)
-            self.queue.finish(identity, whole=False)
+            self.queue.finish(identity, is_complete=False)
             if record.first_token_at is None:
                 again.append(record.candidate)
         for candidate in self.queue.waiting():
@@ -138,7 +138,7 @@
             record.stall += max(0.0, gap - STALL_SECONDS)
         record.last_token_at = now
         record.tokens += 1
-        self.queue.progress(identity, 1)
+        self.queue.record_progress(identity, 1)
 
 
 def simulate(
@@ -154,7 +154,7 @@
     """Run until `seconds` have passed; what runs then counts as unfinished."""
     result = RunResult(seconds)
     sites = [EngineSite(f"e{n}", admission, result) for n in range(engines)]
-    chooser = CHOICES[choice]("hall", Random(seed))
+    chooser = LOAD_BALANCING_POLICIES[choice]("hall", Random(seed))
     order = count()
     events: list[tuple] = []
     for candidate in requests:
--- a/devtools/document_costs.py
+++ b/devtools/document_costs.py
@@ -20,8 +20,8 @@
 
 from features.support.ingress_world import configuration, IngressWorld, route
 from features.support.paced_link import PacedLink, PacedStream
-from piershore.core.attempts.retry_allowance import RetryLimits
-from piershore.core.configuration.relays import RELAYS_PER_HALL
+from piershore.core.attempts.retry_budget import RetryLimits
+from piershore.core.configuration.relays import RELAYS_PER_DATA_HALL
 from piershore.core.fleet.endpoint import Address
 from piershore.ingress.followers.configuration_follower import ConfigurationFollower
 from piershore.ingress.gateway_state import GatewayState
@@ -96,7 +96,7 @@
         await serve(served, PacedStream(stream, link))
 
     async def script(world: IngressWorld) -> None:
-        while world.store.counts.watches > KINDS_WATCHED * RELAYS_PER_HALL:
+        while world.store.counts.watches > KINDS_WATCHED * RELAYS_PER_DATA_HALL:
             await trio.sleep(0.01)
         for change in changes:
             costs.append(await cost_of(world, change, links))
@@ -143,7 +143,7 @@
             await trio.sleep(SETTLE_SECONDS)
             gaps.clear()
             document = await document_of(change, change["version"])
-            await follower.take(document, "store")
+            await follower.apply(document, "store")
             for _ in range(TURNS_AFTER):
                 await trio.lowlevel.checkpoint()
             nursery.cancel_scope.cancel()
--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -247,21 +247,21 @@
     Mutant(
         "silent endpoints are never given up",
         "core/streams/silence.py",
-        "        is_given_up = unanswered >= UNANSWERED_BEFORE_GIVEN_UP\n",
+        "        is_given_up = unanswered >= MAX_UNANSWERED_PROBES\n",
         "        is_given_up = False\n",
         "ingress_streams",
     ),
     Mutant(
         "reports of silent endpoints aren't read",
         "core/streams/silence.py",
-        "    if made > stream.last_event + EVENTS_ON_THE_WAY:\n",
+        "    if made > stream.last_event + MAX_EVENTS_IN_TRANSIT:\n",
         "    if False:\n",
         "ingress_streams",
     ),
     Mutant(
         "own standstill taken for an endpoint's silence",
         "ingress/streams/silence_watch.py",
-        "if stood_still(due, now):",
+        "if was_paused(due, now):",
         "if False:",
         "ingress_streams",
     ),
@@ -287,13 +287,13 @@
         "ingress_store",
         (
             "ingress/followers/store_follower.py",
-            "missed changes: read all again.\n                self._revision = None\n",
+            "missed changes: read the whole state.\n                self._revision = None\n",
             "missed changes.\n",
         ),
     ),
     Mutant(
         "parts that came are not kept",
-        "core/documents/document_assembly.py",
+        "core/documents/document_assembler.py",
         "        self._received = wanted\n",
         "        self._received = {}\n",
         "documents",
@@ -301,8 +301,8 @@
     Mutant(
         "lists are split by place",
         "core/documents/splitting.py",
-        "        is_last = crc32(data) % ENTRIES_A_PART == 0\n",
-        "        is_last = len(group) == ENTRIES_A_PART\n",
+        "        is_last = crc32(data) % MEAN_ENTRIES_PER_CHUNK == 0\n",
+        "        is_last = len(group) == MEAN_ENTRIES_PER_CHUNK\n",
         "documents",
     ),
     Mutant(
@@ -320,7 +320,7 @@
         "                document = await self._read(host, own)\n",
         "ingress_documents",
         second=(
-            "core/documents/document_assembly.py",
+            "core/documents/document_assembler.py",
             "        self._received = wanted\n",
             "        self._received = {}\n",
         ),
@@ -397,7 +397,7 @@
     ),
     Mutant(
         "peers aren't told of crashes",
-        "ingress/peers/crash_news.py",
+        "ingress/peers/crash_reporter.py",
         "self._nursery.start_soon(self._spread, content)",
         "pass",
         "crashing_requests",
@@ -405,7 +405,8 @@
     Mutant(
         "whatever runs at a crash is suspected",
         "core/quarantine/endpoint_runs.py",
-        "return min(now, self.ended_at) - self.first_at <= FRESH_SECONDS",
+        "return min(now, self.ended_at) - self.first_chunk_at"
+        " <= SUSPECT_WINDOW_SECONDS",
         "return True",
         "crashing_requests",
     ),
@@ -440,7 +441,7 @@
     Mutant(
         "a named rate isn't shared",
         LIMITS,
-        "return RateQuota(share.part(quota.requests), quota.window)",
+        "return RateQuota(share.quota(quota.requests), quota.window)",
         "return quota",
         "endpoint_rate_limits",
     ),
@@ -454,7 +455,7 @@
     Mutant(
         "the first answer without a rate ends a limit",
         LIMITS,
-        "now - latest.at >= CROSSING_SECONDS",
+        "now - latest.at >= MAX_REORDERING_SECONDS",
         "True",
         "endpoint_rate_limits",
     ),
--- a/devtools/soak/callers.py
+++ b/devtools/soak/callers.py
@@ -151,7 +151,7 @@
                 head = await connection.read_head()
                 call.status = head.status
                 call.headers = {k.decode(): v.decode() for k, v in head.headers}
-                async for part in connection.read_parts():
+                async for part in connection.read_chunks():
                     call.body += part
                 call.is_whole = True
         except ExchangeBrokenError:
--- a/features/steps/rest_steps.py
+++ b/features/steps/backoff_steps.py
@@ -13,14 +13,14 @@
 from behave import then, when
 from notice_steps import play, SHORT
 from support.core_checks import fleet_of
-from support.gateway_states import known, state_of
+from support.gateway_states import known_endpoint, state_of
 from support.placements import placement_over
-from support.stream_reading import Reading
+from support.stream_reading import StreamReading
 
-from piershore.core.fleet.asked_rests import AskedRests
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
 from piershore.core.fleet.endpoint_health import EndpointHealth
 from piershore.core.fleet.fleet_load import FleetLoad
+from piershore.core.fleet.requested_backoffs import RequestedBackoffs
 from piershore.http1.message import ResponseHead
 from piershore.platform.headers import PlatformDialect
 
@@ -104,26 +104,26 @@
 
 @then("a later, shorter backoff doesn't end a longer one")
 def check_longest(context):
-    rests = AskedRests()
+    rests = RequestedBackoffs()
     endpoint = next(iter(fleet_of(1)))
-    rests.note(endpoint.identity, 3.0, 10.0)
-    rests.note(endpoint.identity, 1.0, 11.0)
-    assert rests.is_resting(endpoint.identity, 12.9)
-    assert isclose(rests.left(endpoint.identity, 12.0), 1.0)
-    assert not rests.is_resting(endpoint.identity, 13.0)
-    rests.note(endpoint.identity, 1.0, 13.5)
-    rests.note(endpoint.identity, 3.0, 14.0)
-    assert rests.is_resting(endpoint.identity, 16.9)
-    rests.forget_ended(17.0)
+    rests.record(endpoint.identity, 3.0, 10.0)
+    rests.record(endpoint.identity, 1.0, 11.0)
+    assert rests.is_active(endpoint.identity, 12.9)
+    assert isclose(rests.seconds_left(endpoint.identity, 12.0), 1.0)
+    assert not rests.is_active(endpoint.identity, 13.0)
+    rests.record(endpoint.identity, 1.0, 13.5)
+    rests.record(endpoint.identity, 3.0, 14.0)
+    assert rests.is_active(endpoint.identity, 16.9)
+    rests.drop_expired(17.0)
     assert len(rests) == 0
 
 
 @then("a backoff of one incarnation doesn't apply to the next one")
 def check_successor(context):
-    rests = AskedRests()
+    rests = RequestedBackoffs()
     endpoint = replace(next(iter(fleet_of(1))), born=1)
-    rests.note(endpoint.identity, 3.0, 10.0)
-    assert not rests.is_resting(replace(endpoint, born=2).identity, 10.0)
+    rests.record(endpoint.identity, 3.0, 10.0)
+    assert not rests.is_active(replace(endpoint, born=2).identity, 10.0)
 
 
 def standins_of(world, service):
@@ -134,8 +134,8 @@
     """Record that endpoints have just requested a backoff of a gateway."""
     state = state_of(world)
     for standin in standins:
-        identity = known(world, standin).identity
-        state.rests.note(identity, seconds, trio.current_time())
+        identity = known_endpoint(world, standin).identity
+        state.backoffs.record(identity, seconds, trio.current_time())
 
 
 async def send(world, kind, **named):
@@ -223,7 +223,7 @@
 @when("an endpoint requests a backoff while a call to it connects")
 def ask_while_connecting(context):
     def rest(state, endpoint):
-        state.rests.note(endpoint.identity, 1.0, trio.current_time())
+        state.backoffs.record(endpoint.identity, 1.0, trio.current_time())
 
     call_while(context, rest)
 
@@ -267,11 +267,11 @@
     """Call `prepare` with the backup of a large stream, then crash its engine."""
 
     async def script(world):
-        context.reading = Reading(world, 300, LARGE_SIZE)
+        context.reading = StreamReading(world, 300, LARGE_SIZE)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.reading.read)
-            await context.reading.wait_events(120)
-            engine = context.reading.running_at()
+            await context.reading.wait_for_events(120)
+            engine = context.reading.running_endpoint()
             context.backup = next(e for e in world.endpoints if e is not engine)
             assert world.memory.copies, "the stream has no backup"
             prepare(world, context.backup)
@@ -353,19 +353,19 @@
     health, now = EndpointHealth(), 0.0
     seconds = []
     for _ in range(6):
-        assert health.note_refusal("i-0", now)
+        assert health.record_refusal("i-0", now)
         until = next(t for t in count_up(now) if not health.is_ejected("i-0", t))
         seconds.append(until - now)
         now = until
     assert isclose(seconds[0], first, abs_tol=STEP_SECONDS)
     assert isclose(max(seconds), longest, abs_tol=STEP_SECONDS)
     assert seconds == sorted(seconds)
-    health.note_refusal("i-0", now)
-    health.note_success("i-0")
+    health.record_refusal("i-0", now)
+    health.record_success("i-0")
     assert not health.is_ejected("i-0", now)
     directory = EndpointDirectory()
     directory.put(next(iter(fleet_of(1))))
-    health.note_refusal("i-0", now)
+    health.record_refusal("i-0", now)
     placement = placement_over(directory, FleetLoad(), health=health)
     assert placement.for_call("model", now).endpoint.name == "i-0"
 
@@ -379,6 +379,6 @@
 def check_many(context, count):
     health, now = EndpointHealth(), 0.0
     for _ in range(count):
-        health.note_failing("i-0", now)
+        health.eject("i-0", now)
         assert health.is_ejected("i-0", now)
         now += 10.0
--- a/features/steps/cold_endpoint_steps.py
+++ b/features/steps/cold_endpoint_steps.py
@@ -12,7 +12,7 @@
 from support.core_checks import checked, ENGINE, fleet_of
 from support.ingress_world import IngressWorld
 
-from piershore.core.fleet.cold_starts import ColdStarts, TRANSIT_SECONDS
+from piershore.core.fleet.cold_starts import ColdStarts, TRANSIT_JITTER_SECONDS
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
 from piershore.core.fleet.rate_shares import RateShares, Share
 from piershore.core.fleet.subsetting import EndpointSubsets
@@ -28,7 +28,7 @@
 def check_parts(context):
     @checked(st.integers(0, 100), st.integers(1, 500))
     def check(rate, gateways):
-        parts = [Share(rank, gateways).part(rate) for rank in range(gateways)]
+        parts = [Share(rank, gateways).quota(rate) for rank in range(gateways)]
         assert sum(parts) == rate
         assert max(parts) - min(parts) <= 1
 
@@ -53,14 +53,16 @@
     def bear(self, rate):
         """Configure the service's cold rate, and set up each gateway's view."""
         spec = ServiceSpec("model", ENGINE, LONG_COLD_SECONDS, float(rate))
-        self.configuration.offer(ServingConfiguration(1, {}, {"model": spec}, {}))
+        self.configuration.apply_if_newer(
+            ServingConfiguration(1, {}, {"model": spec}, {})
+        )
         for host in self.hosts:
             subsets = EndpointSubsets(host, self.directory)
             subsets.set_peers(self.hosts)
             shares = RateShares(host, subsets, self.configuration)
             starts = ColdStarts(shares, self.configuration)
             for endpoint in self.directory:
-                starts.note_entry(endpoint, 0.0)
+                starts.record_entry(endpoint, 0.0)
             self.views[host] = (subsets.own("model"), starts)
 
     def serve(self, rate, seconds):
@@ -76,8 +78,8 @@
                 continue
             cold = [e for e in allowed if e.identity in self.cold]
             chosen = random.choice(cold or allowed)
-            starts.note_sent(chosen, now)
-            delay = random.random() * TRANSIT_SECONDS
+            starts.record_sent(chosen, now)
+            delay = random.random() * TRANSIT_JITTER_SECONDS
             self.arrivals[chosen.identity].append(now + delay)
 
     def most_in_a_second(self, identity):
@@ -179,7 +181,7 @@
 def cold_starts():
     configuration = CurrentConfiguration()
     spec = ServiceSpec("model", None, COLD_START_SECONDS, 5.0)
-    configuration.offer(ServingConfiguration(1, {}, {"model": spec}, {}))
+    configuration.apply_if_newer(ServingConfiguration(1, {}, {"model": spec}, {}))
     subsets = EndpointSubsets("self", EndpointDirectory())
     shares = RateShares("self", subsets, configuration)
     return ColdStarts(shares, configuration)
@@ -188,10 +190,10 @@
 @then("an endpoint is cold for the time in its entry or in a peer's report")
 def check_told(context):
     starts, (seen, told) = cold_starts(), fleet_of(2)
-    starts.note_entry(replace(seen, cold_seconds=2.0), 10.0)
+    starts.record_entry(replace(seen, cold_seconds=2.0), 10.0)
     assert starts.is_cold(seen.identity, 11.9)
     assert starts.report(11.0) == {seen.identity: 1.0}
-    starts.take_report({told.identity: 3.0}, 11.0)
+    starts.apply_report({told.identity: 3.0}, 11.0)
     assert starts.is_cold(told.identity, 13.9)
     # Only the gateway that read the entry reports it, else reports would circulate
     # forever.
@@ -204,6 +206,6 @@
 @then("an endpoint added by a peer's list is cold for its service's cold start time")
 def check_added(context):
     starts, (added,) = cold_starts(), fleet_of(1)
-    starts.note_started(added, 10.0)
+    starts.record_start(added, 10.0)
     assert starts.is_cold(added.identity, 10.0 + COLD_START_SECONDS - 0.1)
     assert not starts.is_cold(added.identity, 10.0 + COLD_START_SECONDS)
--- a/features/steps/core_admission_steps.py
+++ b/features/steps/core_admission_steps.py
@@ -35,8 +35,8 @@
         one = candidate(f"learn{number}")
         context.queue.submit(one, 0.0)
         list(context.queue.poll(0.0))
-        context.queue.progress(one.identity, length)
-        context.queue.finish(one.identity, whole=True)
+        context.queue.record_progress(one.identity, length)
+        context.queue.finish(one.identity, is_complete=True)
 
 
 def submit_many(context, count, **named):
@@ -60,8 +60,8 @@
 @when("the queue can't reach a request by its deadline")
 def submit_hopeless(context):
     teach(context, 900)
-    context.queue.note_rate(0, 0.0)
-    context.queue.note_rate(1_000, 10.0)
+    context.queue.record_tokens(0, 0.0)
+    context.queue.record_tokens(1_000, 10.0)
     submit_many(context, 20, priority=1)
     context.queue.submit(candidate("last", deadline=11.0), 10.0)
     poll(context, 10.0)
--- a/features/steps/core_ownership_steps.py
+++ b/features/steps/core_ownership_steps.py
@@ -59,7 +59,7 @@
         version, base = self.random.choice(self.versions[-2:])
         clock = self.now + self.random.choice([-50, 0, 0, 50])
         try:
-            wanted = agent.change(base, clock, {"a0", "a1"})
+            wanted = agent.update_leases(base, clock, {"a0", "a1"})
         except SlotChangeError:
             return
         if version != self.versions[-1][0] or wanted == base:
@@ -81,7 +81,7 @@
             self.agents[number] = self.agent(number)
 
     def forget(self, agent, number):
-        agent.forget(self.now + self.random.choice([0, 200]))
+        agent.drop_expired_claims(self.now + self.random.choice([0, 200]))
 
     def resize(self, agent, number):
         if self.random.random() < 0.2:
@@ -149,7 +149,7 @@
         earlier = [v for era, v in self.records.items() if era < self.era and v]
         found = earlier[-1][-1][1]
         table = agent.begin_era(self.slots, 0, clock, found)
-        wanted = agent.change(table, clock, {"a0", "a1"})
+        wanted = agent.update_leases(table, clock, {"a0", "a1"})
         self.versions.append((StoreRevision.of(self.era, 1), wanted))
         if self.random.random() < 0.7:
             agent.confirm(wanted, self.versions[-1][0])
@@ -196,7 +196,7 @@
     for _ in range(seconds * 4):
         context.clock += 250
         for agent in agents:
-            context.slots = agent.change(context.slots, context.clock, names)
+            context.slots = agent.update_leases(context.slots, context.clock, names)
             context.version += 1
             agent.confirm(context.slots, context.version)
 
--- a/features/steps/document_steps.py
+++ b/features/steps/document_steps.py
@@ -10,13 +10,18 @@
 from hypothesis import strategies as st
 from support.core_checks import checked
 
-from piershore.core.documents.compression import LARGEST_BYTES
-from piershore.core.documents.document import Document, DocumentPart
-from piershore.core.documents.document_assembly import DocumentAssembly
-from piershore.core.documents.exceptions import InvalidPartsError
-from piershore.core.documents.parts_reply import PartsReply, REPLY_BYTES
-from piershore.core.documents.parts_request import PartsRequest
-from piershore.core.documents.splitting import ENTRIES_A_PART, join, MOST_ENTRIES, split
+from piershore.core.documents.chunks_reply import ChunksReply, TARGET_REPLY_BYTES
+from piershore.core.documents.chunks_request import ChunksRequest
+from piershore.core.documents.compression import MAX_DECOMPRESSED_BYTES
+from piershore.core.documents.document import Document, DocumentChunk
+from piershore.core.documents.document_assembler import DocumentAssembler
+from piershore.core.documents.exceptions import InvalidChunksError
+from piershore.core.documents.splitting import (
+    join,
+    MAX_ENTRIES_PER_CHUNK,
+    MEAN_ENTRIES_PER_CHUNK,
+    split,
+)
 
 ENTRIES = st.lists(st.dictionaries(st.text(max_size=4), st.integers(0, 9), max_size=3))
 FIELDS = st.dictionaries(st.text(max_size=5), ENTRIES | st.integers(0, 9) | st.none())
@@ -52,7 +57,7 @@
         changed = {part.digest for part in split({"entries": entries})} - before
         # A chunk that ends at its maximum size shifts all ends up to the next one that
         # depends on contents.
-        longest = MOST_ENTRIES // ENTRIES_A_PART
+        longest = MAX_ENTRIES_PER_CHUNK // MEAN_ENTRIES_PER_CHUNK
         assert len(changed) <= MOST_CHANGED_PARTS + longest, len(changed)
 
 
@@ -64,20 +69,20 @@
         random = Random(seed)
         versions = list(some_versions(random))
         own = versions[0] if random.random() < 0.5 else None
-        assembly = DocumentAssembly()
+        assembly = DocumentAssembler()
         for _ in range(MOST_READS):
             request = assembly.request(own)
             peer = random.choice(versions[1:])
-            reply = PartsReply.of(peer, PartsRequest.decode(request.encode()))
-            sizes = [len(part.data) for part in reply.parts]
-            assert sum(sizes[:-1]) < REPLY_BYTES
+            reply = ChunksReply.of(peer, ChunksRequest.decode(request.encode()))
+            sizes = [len(part.data) for part in reply.chunks]
+            assert sum(sizes[:-1]) < TARGET_REPLY_BYTES
             if random.random() < BREAKS:
                 continue
-            found = assembly.take(PartsReply.decode(reply.encode()), own)
+            found = assembly.receive_reply(ChunksReply.decode(reply.encode()), own)
             if found is not None:
                 assert found == peer
                 return
-            assert reply.parts
+            assert reply.chunks
         raise AssertionError("the document was never complete")
 
 
@@ -90,11 +95,11 @@
 
 @when("a peer replies with a chunk whose digest it doesn't list")
 def answer_with_other(context):
-    context.assembly = DocumentAssembly()
+    context.assembly = DocumentAssembler()
     context.request = context.assembly.request(None)
     named = document({"version": 1})
-    reply = PartsReply(1, named.digests, (DocumentPart.of(b'{"version":2}'),))
-    context.found = context.assembly.take(reply, None)
+    reply = ChunksReply(1, named.digests, (DocumentChunk.of(b'{"version":2}'),))
+    context.found = context.assembly.receive_reply(reply, None)
 
 
 @then("the document isn't complete and the next request is the same")
@@ -113,17 +118,17 @@
 
     @checked(st.binary() | packed | values)
     def check(data):
-        for message in (PartsRequest, PartsReply):
+        for message in (ChunksRequest, ChunksReply):
             try:
                 message.decode(data)
-            except InvalidPartsError as error:
+            except InvalidChunksError as error:
                 assert error.code
 
 
 @then("a reply that decompresses to more than 16 MB is refused")
 def check_bound(context):
     try:
-        PartsReply.decode(zlib.compress(bytes(LARGEST_BYTES + 1)))
-    except InvalidPartsError:
+        ChunksReply.decode(zlib.compress(bytes(MAX_DECOMPRESSED_BYTES + 1)))
+    except InvalidChunksError:
         return
     raise AssertionError("it was accepted")
--- a/features/steps/drained_hall_steps.py
+++ b/features/steps/drained_hall_steps.py
@@ -12,7 +12,7 @@
 from support.core_checks import checked
 from support.ingress_world import IngressWorld
 from support.peer_reports import peer_report
-from support.stream_reading import Reading, SMALL_SIZE, wait_for_peers
+from support.stream_reading import SMALL_SIZE, StreamReading, wait_for_peers
 
 from piershore.core.fleet.drained_halls import DrainedHalls
 from piershore.core.fleet.peer_report import PeerReport
@@ -211,11 +211,11 @@
 def drain_midway(context, count):
     async def script(world):
         context.count = count
-        context.reading = Reading(world, count, SMALL_SIZE)
+        context.reading = StreamReading(world, count, SMALL_SIZE)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.reading.read)
-            await context.reading.wait_events(10)
-            context.source = context.reading.running_at()
+            await context.reading.wait_for_events(10)
+            context.source = context.reading.running_endpoint()
             drain(world, context.source.data_hall)
             await wait_drained(world, context.source.data_hall)
 
@@ -235,11 +235,11 @@
 @when("the data hall of a stream's backup is drained, and its endpoint crashes")
 def drain_backup(context):
     async def script(world):
-        context.reading = Reading(world, 400, LARGE_SIZE)
+        context.reading = StreamReading(world, 400, LARGE_SIZE)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.reading.read)
-            await context.reading.wait_events(100)
-            source = context.reading.running_at()
+            await context.reading.wait_for_events(100)
+            source = context.reading.running_endpoint()
             held = set(world.memory.copies.values())
             backup = next(e for e in world.endpoints if e.address in held)
             drain(world, backup.data_hall)
@@ -262,7 +262,7 @@
 
     heard_at = 0.0
 
-    def go_on_from(self, drained):
+    def resume_from(self, drained):
         pass
 
 
@@ -288,7 +288,7 @@
         for revision, data_halls in drawn:
             view = DrainedHalls(revision, data_halls)
             report = PeerReport.decode(_report_with(view).encode())
-            follower.take_from_peer(report.drained, "peer")
+            follower.apply_from_peer(report.drained, "peer")
             if highest is None or revision > highest.revision:
                 highest = view
             assert follower.view == highest
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -12,7 +12,7 @@
 from behave import given, then, when
 from ingress_stream_steps import say_leaving
 from support.ingress_world import IngressWorld
-from support.stream_reading import Reading, SMALL_SIZE
+from support.stream_reading import SMALL_SIZE, StreamReading
 
 from piershore.commands.command import ExitCode
 from standins.published_store import StoreFault
@@ -26,19 +26,19 @@
 
 
 async def moved(world):
-    reading = Reading(world, 60, SMALL_SIZE)
+    reading = StreamReading(world, 60, SMALL_SIZE)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(reading.read)
-        await reading.wait_events(10)
+        await reading.wait_for_events(10)
         await say_leaving(world, reading, False)
 
 
 async def broken_off(world):
-    reading = Reading(world, 60, SMALL_SIZE)
+    reading = StreamReading(world, 60, SMALL_SIZE)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(reading.read)
-        await reading.wait_events(10)
-        reading.running_at().crash()
+        await reading.wait_for_events(10)
+        reading.running_endpoint().crash()
 
 
 async def too_early(world):
@@ -51,7 +51,7 @@
     _, daemon = world.gateways[0]
     failing = world.endpoints[0].identity
     while not daemon._state.health.is_ejected(failing, trio.current_time()):
-        daemon._state.health.note_failure(failing, trio.current_time())
+        daemon._state.health.record_failure(failing, trio.current_time())
     await world.call("once", request="abc")
 
 
--- a/features/steps/ingress_belief_steps.py
+++ b/features/steps/ingress_belief_steps.py
@@ -14,10 +14,10 @@
 from piershore.core.attempts.attempt_outcome import (
     AttemptOutcome,
     final_status,
-    may_try_again,
+    may_retry,
 )
-from piershore.core.attempts.leaving import come_back_seconds
-from piershore.core.attempts.retry_allowance import RetryAllowance, RetryLimits
+from piershore.core.attempts.leaving import retry_after_seconds
+from piershore.core.attempts.retry_budget import RetryBudget, RetryLimits
 from piershore.core.fleet.endpoint import EndpointStage
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
 from piershore.core.fleet.endpoint_health import (
@@ -26,15 +26,15 @@
 )
 from piershore.core.fleet.peer_report import PeerReport
 from piershore.core.fleet.peer_table import PeerTable
-from piershore.core.fleet.report_pace import (
-    news_gap,
-    passes_on,
+from piershore.core.fleet.report_timing import (
+    peer_timeout,
     report_interval,
-    silent_after,
+    should_forward,
+    triggered_report_interval,
 )
-from piershore.core.fleet.shared_failures import Outcomes, SharedFailures
-from piershore.core.fleet.store_silence import seems_silent, StoreSign
-from piershore.core.fleet.watchers import WatcherView, watches_store
+from piershore.core.fleet.shared_failures import OutcomeCounts, SharedFailures
+from piershore.core.fleet.store_silence import is_store_silent, StoreLiveness
+from piershore.core.fleet.watchers import should_watch_store, WatchCandidate
 from piershore.core.routes.current_configuration import CurrentConfiguration
 from piershore.core.routes.route import RequestKind
 from piershore.core.routes.serving_configuration import ServingConfiguration
@@ -53,7 +53,7 @@
         made = []
         for outcome in outcomes:
             made.append(outcome)
-            if not may_try_again(kind, outcome):
+            if not may_retry(kind, outcome):
                 break
         maybe_run = [o for o in made if not o.proves_not_run]
         if kind is not RequestKind.REPEATABLE:
@@ -69,7 +69,7 @@
         current = CurrentConfiguration()
         highest = 0
         for version in versions:
-            taken = current.offer(ServingConfiguration(version, {}, {}, {}))
+            taken = current.apply_if_newer(ServingConfiguration(version, {}, {}, {}))
             assert taken == (version > highest)
             highest = max(highest, version)
             assert current.version == highest
@@ -104,7 +104,7 @@
                 departed = directory.remove(
                     identity, now, after_outage=action == "lapse"
                 )
-            departed += directory.drop_lapsed(now)
+            departed += directory.drop_expired(now)
             # An endpoint whose entry was only removed may be listed again: it was unreachable.
             left.update(d.endpoint.identity for d in departed if not d.is_gone)
             assert not left & {e.identity for e in directory.of_service("s")}
@@ -117,7 +117,7 @@
         directory.put(endpoint(f"i-{number}"))
     assert not directory.remove("i-0", 10.0, after_outage=True)
     assert directory.get("i-0") is not None
-    assert directory.drop_lapsed(12.0 - SWEEP_SECONDS)
+    assert directory.drop_expired(12.0 - SWEEP_SECONDS)
     assert directory.get("i-0") is None
 
 
@@ -125,7 +125,9 @@
 def check_watchers(context):
     @checked(st.lists(st.integers(0, 3), min_size=1, max_size=40))
     def check(halls):
-        fleet = [WatcherView(f"g{n}", f"h{h}", True, 10.0) for n, h in enumerate(halls)]
+        fleet = [
+            WatchCandidate(f"g{n}", f"h{h}", True, 10.0) for n, h in enumerate(halls)
+        ]
         watching = watchers_of(fleet)
         for hall in set(halls):
             size = min(2, halls.count(hall))
@@ -133,13 +135,13 @@
             # A fleet of at most two gateways has too few watchers to rely on.
             assert found == size or len(fleet) <= 2, (hall, found)
         deaf = [replace(g, reads_store=False) for g in fleet]
-        own = WatcherView("x", "h0", True, 10.0)
-        assert watches_store(own, deaf)
-        assert watches_store(own, [])
+        own = WatchCandidate("x", "h0", True, 10.0)
+        assert should_watch_store(own, deaf)
+        assert should_watch_store(own, [])
 
 
 def watchers_of(fleet):
-    return [g for g in fleet if watches_store(g, [p for p in fleet if p is not g])]
+    return [g for g in fleet if should_watch_store(g, [p for p in fleet if p is not g])]
 
 
 @then("those with wide links watch, and others only where there are too few of them")
@@ -147,7 +149,7 @@
     @checked(st.lists(st.tuples(st.integers(0, 2), st.booleans()), min_size=3))
     def check(gateways):
         fleet = [
-            WatcherView(f"g{n}", f"h{hall}", True, 200.0 if is_wide else 10.0)
+            WatchCandidate(f"g{n}", f"h{hall}", True, 200.0 if is_wide else 10.0)
             for n, (hall, is_wide) in enumerate(gateways)
         ]
         watching = watchers_of(fleet)
@@ -163,12 +165,12 @@
     def check(seed):
         random = Random(seed)
         limits = RetryLimits(ratio=0.2, slack=30, window=10)
-        allowance = RetryAllowance(limits)
+        allowance = RetryBudget(limits)
         requests, retries, now = [], [], 0.0
         for _ in range(400):
             now += random.random() / 10
             if random.random() < 0.4:
-                allowance.note_request(now)
+                allowance.record_request(now)
                 requests.append(now)
             elif allowance.spend(now, 1):
                 retries.append(now)
@@ -183,14 +185,14 @@
     now, lengths = 0.0, []
     for _ in range(3):
         failures = range(FAILURES_BEFORE_EJECTION)
-        assert any([health.note_failure("i", now) for _ in failures])
+        assert any([health.record_failure("i", now) for _ in failures])
         start = now
         while health.is_ejected("i", now):
             now += 0.1
         lengths.append(round(now - start))
     assert lengths == [1, 2, 4]
-    health.note_success("i")
-    assert not health.note_failure("i", now)
+    health.record_success("i")
+    assert not health.record_failure("i", now)
 
 
 LOST_REPORTS = 0.02
@@ -207,10 +209,10 @@
         for host in hosts[1:]:
             is_lost = number > 1 and random.random() < LOST_REPORTS
             if not is_lost:
-                table.take(peer_report(host, number), number * interval)
-        assert len(table.living((number + 0.9) * interval)) == gateways - 1
-    later = (number + 1) * interval + silent_after(gateways - 1)
-    assert not table.living(later)
+                table.apply_report(peer_report(host, number), number * interval)
+        assert len(table.live_peers((number + 0.9) * interval)) == gateways - 1
+    later = (number + 1) * interval + peer_timeout(gateways - 1)
+    assert not table.live_peers(later)
 
 
 @then(
@@ -218,7 +220,7 @@
     "per second"
 )
 def check_news(context, gateways, most):
-    assert (gateways - 1) / news_gap(gateways - 1) <= most
+    assert (gateways - 1) / triggered_report_interval(gateways - 1) <= most
 
 
 @then(
@@ -229,7 +231,7 @@
     peers = gateways - 1
     random = Random(peers)
     rounds = 200
-    passed = sum(passes_on(peers, random.random()) for _ in range(rounds * peers))
+    passed = sum(should_forward(peers, random.random()) for _ in range(rounds * peers))
     wanted = min(peers, number)
     assert abs(passed / rounds - wanted) < 1, passed
 
@@ -259,13 +261,13 @@
     """Parse signs like "0.2, 4 overdue": seconds since an answer, by gateway."""
     for word in text.split(","):
         age, _, mark = word.strip().partition(" ")
-        yield StoreSign(float(age), mark == "overdue")
+        yield StoreLiveness(float(age), mark == "overdue")
 
 
 @then("with the gateways' last answers {ages} s ago the store {state}")
 def check_store_state(context, ages, state):
     expected = {"seems silent": True, "does not seem silent": False}[state]
-    assert seems_silent(store_signs(ages)) is expected
+    assert is_store_silent(store_signs(ages)) is expected
 
 
 @then("a report tells of the store's last answer, also if there was none")
@@ -274,8 +276,10 @@
         ((0.5, True), (0.5, True)),
         ((float("inf"), False), (3_600.0, False)),
     ):
-        report = replace(peer_report("10.0.0.1", 1), store_sign=StoreSign(*told))
-        assert PeerReport.decode(report.encode()).store_sign == StoreSign(*read)
+        report = replace(
+            peer_report("10.0.0.1", 1), store_liveness=StoreLiveness(*told)
+        )
+        assert PeerReport.decode(report.encode()).store_liveness == StoreLiveness(*read)
 
 
 @given("gateways that were told to stop {ago} s ago, with a grace of {grace:g} s")
@@ -286,7 +290,7 @@
 
 @when("others {others}")
 def given_others(context, others):
-    context.seconds = come_back_seconds(
+    context.seconds = retry_after_seconds(
         context.stopped, context.grace, 0.0, others_stay=others == "stay"
     )
 
@@ -302,28 +306,31 @@
     for number, word in enumerate(outcomes.split(", ")):
         failures, successes = map(int, word.split("/"))
         if number:
-            told = {"i-0": Outcomes(failures, successes)}
-            context.shared.take_report(f"peer-{number}", told, 0.0)
+            told = {"i-0": OutcomeCounts(failures, successes)}
+            context.shared.apply_report(f"peer-{number}", told, 0.0)
             continue
         for failed in [True] * failures + [False] * successes:
-            context.shared.note("i-0", 0.0, failed=failed)
+            context.shared.record("i-0", 0.0, failed=failed)
 
 
 @then("they {verdict} that the endpoint fails")
 def check_shared(context, verdict):
-    assert context.shared.are_failing("i-0", 0.1) is (verdict == "show")
+    assert context.shared.is_failing("i-0", 0.1) is (verdict == "show")
 
 
 @then("successes are told only where somebody sees failures, and for 0.7 s")
 def check_told(context):
     shared = SharedFailures()
-    shared.note("i-0", 0.0, failed=False)
+    shared.record("i-0", 0.0, failed=False)
     assert shared.report(0.1) == {}
-    shared.take_report("peer", {"i-0": Outcomes(2, 0)}, 0.2)
-    assert shared.report(0.3) == {"i-0": Outcomes(0, 1)}
-    shared.note("i-1", 0.5, failed=True)
-    assert shared.report(0.6) == {"i-0": Outcomes(0, 1), "i-1": Outcomes(1, 0)}
-    assert shared.report(0.8) == {"i-1": Outcomes(1, 0)}
+    shared.apply_report("peer", {"i-0": OutcomeCounts(2, 0)}, 0.2)
+    assert shared.report(0.3) == {"i-0": OutcomeCounts(0, 1)}
+    shared.record("i-1", 0.5, failed=True)
+    assert shared.report(0.6) == {
+        "i-0": OutcomeCounts(0, 1),
+        "i-1": OutcomeCounts(1, 0),
+    }
+    assert shared.report(0.8) == {"i-1": OutcomeCounts(1, 0)}
     assert shared.report(1.3) == {}
-    report = replace(peer_report("10.0.0.1", 1), outcomes={"i-1": Outcomes(1, 2)})
-    assert PeerReport.decode(report.encode()).outcomes == {"i-1": Outcomes(1, 2)}
+    report = replace(peer_report("10.0.0.1", 1), outcomes={"i-1": OutcomeCounts(1, 2)})
+    assert PeerReport.decode(report.encode()).outcomes == {"i-1": OutcomeCounts(1, 2)}
--- a/features/steps/ingress_core_steps.py
+++ b/features/steps/ingress_core_steps.py
@@ -15,7 +15,7 @@
 from support.ingress_world import configuration
 
 from piershore.core.documents.splitting import split
-from piershore.core.fleet.load_note import LoadNote, MARK
+from piershore.core.fleet.load_update import LOAD_UPDATE_PREFIX, LoadUpdate
 from piershore.core.fleet.peer_report import PeerReport
 from piershore.core.streams.delivered_events import DeliveredEvents
 from piershore.core.streams.event_splitter import EventSplitter
@@ -56,7 +56,7 @@
             while data:
                 size = random.randrange(1, 20)
                 part, data = data[:size], data[size:]
-                events = delivered.take(splitter.feed(part))
+                events = delivered.filter_new(splitter.feed(part))
                 seen.extend(event.number for event in events)
         assert seen == list(range(1, 31))
 
@@ -74,8 +74,9 @@
 
 PARSERS = {
     "a load update": (
-        LoadNote.decode,
-        st.binary() | JSON_VALUES.map(lambda value: MARK + orjson.dumps(value)),
+        LoadUpdate.decode,
+        st.binary()
+        | JSON_VALUES.map(lambda value: LOAD_UPDATE_PREFIX + orjson.dumps(value)),
     ),
     "a peer's report": (PeerReport.decode, st.binary() | JSON_VALUES.map(orjson.dumps)),
     "a settings file": (lambda text: read_box_settings("f", text), st.text()),
--- a/features/steps/ingress_document_steps.py
+++ b/features/steps/ingress_document_steps.py
@@ -14,7 +14,7 @@
 from support.paced_link import PacedLink, PacedStream
 from support.stream_reading import wait_for_peers
 
-from piershore.core.configuration.relays import RELAYS_PER_HALL
+from piershore.core.configuration.relays import RELAYS_PER_DATA_HALL
 from piershore.core.fleet.fleet_load import PlainWork
 from piershore.ingress.peers.peer_documents import PeerDocuments
 from standins.published_store import StoreFault
@@ -184,7 +184,7 @@
         context.fleet_sizes = set()
         with trio.move_on_after(seconds):
             while True:
-                context.fleet_sizes.add(second._state.gateways)
+                context.fleet_sizes.add(second._state.gateway_count)
                 await trio.sleep(0.02)
 
     context.ingress.run(script)
@@ -198,7 +198,7 @@
 async def wait_for_watchers(world):
     """Wait until only the gateways that pass on changes watch the store."""
     await wait_for_peers(world)
-    while world.store.counts.watches > KINDS_WATCHED * RELAYS_PER_HALL:
+    while world.store.counts.watches > KINDS_WATCHED * RELAYS_PER_DATA_HALL:
         await trio.sleep(0.02)
 
 
--- a/features/steps/ingress_placement_steps.py
+++ b/features/steps/ingress_placement_steps.py
@@ -15,17 +15,17 @@
 from support.placements import placement_over
 
 from piershore.commands.options import PLACEMENT
+from piershore.core.fleet.data_hall_stalls import DataHallStalls
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
 from piershore.core.fleet.endpoint_load import EndpointLoad, NO_LOAD
 from piershore.core.fleet.evacuation_plan import (
     choose_targets,
     COPY_BUDGET_SECONDS,
     plan_evacuation,
-    StreamNote,
+    StreamReport,
 )
 from piershore.core.fleet.fleet_load import FleetLoad
 from piershore.core.fleet.generation_work import GenerationSize, GenerationWork
-from piershore.core.fleet.hall_stalls import HallStalls
 from piershore.core.fleet.length_estimate import LengthEstimate
 from piershore.core.fleet.placement_policy import (
     PLACEMENT_POLICIES,
@@ -37,18 +37,18 @@
 def check_places(context):
     async def check():
         source, target = endpoint("source"), endpoint("target")
-        handover = Handover(source, target, noticed=10.0)
-        assert handover.places(10.9) == (target, source)
-        assert handover.places(11.1) == (target,)
+        handover = Handover(source, target, noticed_at=10.0)
+        assert handover.continuation_endpoints(10.9) == (target, source)
+        assert handover.continuation_endpoints(11.1) == (target,)
 
     trio.run(check)
 
 
 def note(number, tokens, *, has_begun=True):
-    return StreamNote(f"r{number}", tokens, has_begun)
+    return StreamReport(f"r{number}", tokens, has_begun)
 
 
-TARGETS = tuple(endpoint(f"t{n}", hall=f"h{n % 3}") for n in range(6))
+TARGETS = tuple(endpoint(f"t{n}", data_hall=f"h{n % 3}") for n in range(6))
 
 
 @then("each generation is planned once, the same from any order of notes")
@@ -108,7 +108,7 @@
     def check(history):
         loads, newest = FleetLoad(), {}
         for now, (peer, report, forget) in enumerate(history):
-            loads.take_report(peer, report, float(now))
+            loads.apply_report(peer, report, float(now))
             newest[peer] = (now, report)
             if forget:
                 loads.forget_peers(now - 1)
@@ -138,7 +138,7 @@
         directory.put(listed)
     for number in range(peers):
         report = {f"i-{number % endpoints}": EndpointLoad(1, 100, 200, 0)}
-        loads.take_report(f"peer-{number}", OnceReadLoads(report), 0.0)
+        loads.apply_report(f"peer-{number}", OnceReadLoads(report), 0.0)
     placement = placement_over(directory, loads)
     work = GenerationWork(GenerationSize(100, 100), LengthEstimate.exactly(50))
     choice = placement.for_generation("model", work, ENGINE, 0.0)
@@ -225,15 +225,15 @@
     directory.put(replace(near, data_hall="ikeja"))
     directory.put(replace(far, data_hall="lekki"))
     held = EndpointLoad(1, tokens, tokens, 0)
-    loads.take_report("peer", {near.identity: held}, 0.0)
-    context.stalls = HallStalls()
+    loads.apply_report("peer", {near.identity: held}, 0.0)
+    context.stalls = DataHallStalls()
     context.placement = placement_over(directory, loads, stalls=context.stalls)
 
 
 @when("streams from lekki have {pauses}")
 def note_pauses(context, pauses):
     for gap in PAUSES[pauses]:
-        context.stalls.note_part("lekki", gap)
+        context.stalls.record_chunk("lekki", gap)
 
 
 @then("the generation is placed at {hall}")
--- a/features/steps/ingress_silence_steps.py
+++ b/features/steps/ingress_silence_steps.py
@@ -7,7 +7,12 @@
 import trio
 from behave import given, then, when
 from support.ingress_world import IngressWorld
-from support.stream_reading import IN_FORCE_SECONDS, Reading, wait_for_peers, with_route
+from support.stream_reading import (
+    IN_FORCE_SECONDS,
+    StreamReading,
+    wait_for_peers,
+    with_route,
+)
 
 from devtools.ports import free_port
 from devtools.soak.fault_proxy import FaultProxy
@@ -96,10 +101,10 @@
 def silence_stream(context):
     async def script(world):
         links = await open_links(world)
-        reading = context.reading = Reading(world, EVENTS, SIZE)
+        reading = context.reading = StreamReading(world, EVENTS, SIZE)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(reading.read)
-            await reading.wait_events(EVENTS_BEFORE)
+            await reading.wait_for_events(EVENTS_BEFORE)
             for link in links:
                 link.silence_open()
 
@@ -114,11 +119,11 @@
         await open_links(world)
         for endpoint in world.endpoints:
             endpoint.pace = SLOW_PACE_SECONDS
-        reading = context.reading = Reading(world, EVENTS, SIZE)
+        reading = context.reading = StreamReading(world, EVENTS, SIZE)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(reading.read)
-            await reading.wait_events(EVENTS_BEFORE)
-            source = reading.running_at()
+            await reading.wait_for_events(EVENTS_BEFORE)
+            source = reading.running_endpoint()
             world.store.fault = StoreFault.SILENT
             source.state = "draining"
             await trio.sleep(seconds)
--- a/features/steps/ingress_start_steps.py
+++ b/features/steps/ingress_start_steps.py
@@ -13,9 +13,9 @@
 from support.stream_reading import wait_for_peers
 
 from devtools.ports import free_port
-from piershore.core.attempts.leaving import START_SECONDS
+from piershore.core.attempts.leaving import RESTART_SECONDS
 from piershore.core.fleet.endpoint import Address
-from piershore.early_port import open_early, take_over
+from piershore.early_listener import open_early_listener, pop_early_listener
 from piershore.http1.client_connection import ClientConnection
 from piershore.ingress.callers import listeners
 from piershore.platform.callers_port import open_callers_port
@@ -70,7 +70,7 @@
     async def script(world):
         settings = world.settings(0)
         address = settings.callers_address
-        open_early(address.host, address.port)
+        open_early_listener(address.host, address.port)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call, world, address)
             await _start(context, world, settings)
@@ -83,7 +83,7 @@
     async def script(world):
         settings = world.settings(0)
         address = settings.callers_address
-        open_early(address.host, address.port)
+        open_early_listener(address.host, address.port)
         for _ in range(callers):
             connection = await ClientConnection.open(address.host, address.port, 1.0)
             head = world.head(kind, ("content-length", "2"))
@@ -100,7 +100,9 @@
 def wait_ready(context):
     async def script(world):
         settings = world.settings(0)
-        open_early(settings.callers_address.host, settings.callers_address.port)
+        open_early_listener(
+            settings.callers_address.host, settings.callers_address.port
+        )
         await _start(context, world, settings)
         await world.wait_until(world.is_ready)
         context.replies = [await world.call("once") for _ in range(8)]
@@ -175,7 +177,7 @@
 
 @then("no port is opened")
 def check_no_port(context):
-    assert take_over(HOST, context.address.port) is None
+    assert pop_early_listener(HOST, context.address.port) is None
     if context.holder is not None:
         context.holder.close()
 
@@ -204,6 +206,6 @@
 def check_told_return(context):
     assert context.reply.status == 503, vars(context.reply)
     told = float(context.reply.headers["retry-after"])
-    expected = context.grace - STOPPING_SECONDS + START_SECONDS
+    expected = context.grace - STOPPING_SECONDS + RESTART_SECONDS
     assert expected - 1.0 < told <= expected, told
     assert not context.ingress.runs("model")
--- a/features/steps/ingress_store_steps.py
+++ b/features/steps/ingress_store_steps.py
@@ -14,19 +14,19 @@
 )
 from support.stream_reading import (
     IN_FORCE_SECONDS,
-    Reading,
     SMALL_SIZE,
+    StreamReading,
     wait_for_peers,
     wait_served,
     with_route,
 )
 
-from piershore.core.attempts.leaving import STILL_SENT_SECONDS
-from piershore.core.fleet import report_pace
+from piershore.core.attempts.leaving import ROUTING_LAG_SECONDS
+from piershore.core.fleet import report_timing
 from piershore.core.fleet.endpoint import Address
 from piershore.http1.client_connection import ClientConnection
 from piershore.http1.exceptions import ExchangeBrokenError
-from piershore.ingress.followers.endpoint_follower import TOGETHER_SECONDS
+from piershore.ingress.followers.endpoint_follower import BATCH_SECONDS
 from piershore.platform.object_client import ObjectClient
 from standins.published_store import PublishedStore, StoreFault
 
@@ -81,9 +81,9 @@
 def check_calls_together(context):
     first = context.changed_at[0]
     later = [at for at in context.calls if at > first]
-    assert later[0] - first >= TOGETHER_SECONDS, later
+    assert later[0] - first >= BATCH_SECONDS, later
     gaps = [after - before for before, after in pairwise(later)]
-    assert all(gap >= TOGETHER_SECONDS for gap in gaps), gaps
+    assert all(gap >= BATCH_SECONDS for gap in gaps), gaps
 
 
 @when("{count:d} endpoints register {apart:d} ms apart as soon as it runs")
@@ -133,8 +133,8 @@
         await wait_for_peers(world)
         await cut_second_from_store(world, StoreFault.BUSY)
         with (
-            patch.object(report_pace, "REPORTS_A_SECOND", 0.1),
-            patch.object(report_pace, "PASSED_ON_BY", 0),
+            patch.object(report_timing, "REPORTS_A_SECOND", 0.1),
+            patch.object(report_timing, "EXPECTED_FORWARDERS", 0),
         ):
             # The current wait for the next report still uses the usual interval.
             await trio.sleep(0.5)
@@ -315,11 +315,11 @@
 def stop_gateway(context):
     async def script(world):
         _, daemon = world.gateways[0]
-        context.reading = Reading(world, 100, SMALL_SIZE)
+        context.reading = StreamReading(world, 100, SMALL_SIZE)
         context.count = 100
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.reading.read)
-            await context.reading.wait_events(5)
+            await context.reading.wait_for_events(5)
             context.idle = await ClientConnection.open(
                 world.address().host, world.address().port, 1.0
             )
@@ -327,7 +327,7 @@
             await trio.sleep(0.05)
             context.was_ready = await world.is_ready()
             context.reply = await world.call("once")
-            await trio.sleep(STILL_SENT_SECONDS)
+            await trio.sleep(ROUTING_LAG_SECONDS)
             context.refused = await world.call("stream", size="100,2000")
             context.short = await world.call("stream", size="100,20")
             context.idle_was_closed = not context.idle.is_clean()
--- a/features/steps/ingress_stream_steps.py
+++ b/features/steps/ingress_stream_steps.py
@@ -12,8 +12,8 @@
     IngressWorld,
 )
 from support.stream_reading import (
-    Reading,
     SMALL_SIZE,
+    StreamReading,
 )
 
 from piershore.core.fleet.endpoint_load import EndpointLoad
@@ -75,17 +75,17 @@
     context.count = count
 
     async def script(world):
-        context.reading = Reading(world, count, LARGE_SIZE)
+        context.reading = StreamReading(world, count, LARGE_SIZE)
         context.reading.pause_after = 100
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.reading.read)
-            await context.reading.wait_events(100)
-            source = context.reading.running_at()
+            await context.reading.wait_for_events(100)
+            source = context.reading.running_endpoint()
             # By then the gateway can send no more, and the backup is complete.
             await trio.sleep(1.2)
             world.list_endpoint(source, "draining")
             await trio.sleep(0.3)
-            context.reading.go_on.set()
+            context.reading.resumed.set()
 
     context.ingress.run(script)
 
@@ -93,14 +93,14 @@
 async def read_while(world, reading, happening, after=10):
     async with trio.open_nursery() as nursery:
         nursery.start_soon(reading.read)
-        await reading.wait_events(after)
+        await reading.wait_for_events(after)
         await happening(reading)
 
 
 @when("a stream of {count:d} events is read")
 def read_stream(context, count):
     async def script(world):
-        context.reading = Reading(world, count, SMALL_SIZE)
+        context.reading = StreamReading(world, count, SMALL_SIZE)
         context.count = count
         await context.reading.read()
 
@@ -114,7 +114,7 @@
 
     async def script(world):
         sizes = {"small": SMALL_SIZE, "large": LARGE_SIZE}
-        context.reading = Reading(world, count, sizes[size])
+        context.reading = StreamReading(world, count, sizes[size])
         after = 100 if size == "large" else 10
 
         async def happen(reading):
@@ -126,7 +126,7 @@
 
 
 async def say_leaving(world, reading, crash_after_copy):
-    source = reading.running_at()
+    source = reading.running_endpoint()
     world.list_endpoint(source, "draining")
     if crash_after_copy:
         while not world.memory.copies:
@@ -135,17 +135,17 @@
 
 
 async def leave_without_room(world, reading, crash_after_copy):
-    source = reading.running_at()
+    source = reading.running_endpoint()
     source.moves_refused_until = trio.current_time() + NO_ROOM_SECONDS
     world.list_endpoint(source, "draining")
 
 
 async def drop_from_list(world, reading, crash_after_copy):
-    world.store.remove("servers", reading.running_at().identity)
+    world.store.remove("servers", reading.running_endpoint().identity)
 
 
 async def leave_twice(world, reading, crash_after_copy):
-    first = reading.running_at()
+    first = reading.running_endpoint()
     world.list_endpoint(first, "draining")
     while not any(e.continued["abc"] for e in world.endpoints):
         await trio.sleep(0.005)
@@ -158,7 +158,7 @@
     world.store.fault = StoreFault.RESET
     world.store.cut_watches()
     await trio.sleep(0.3)
-    reading.running_at().state = "draining"
+    reading.running_endpoint().state = "draining"
 
 
 @then("engines were probed only during the outage")
@@ -169,11 +169,11 @@
 
 
 async def crash(world, reading, crash_after_copy):
-    reading.running_at().crash()
+    reading.running_endpoint().crash()
 
 
 async def fall_silent(world, reading, silence):
-    world.silent = reading.running_at()
+    world.silent = reading.running_endpoint()
     world.silent.silence = silence
     # Longer than it takes to be probed and given up.
     with trio.move_on_after(SILENT_SECONDS):
@@ -272,12 +272,12 @@
         _, daemon = world.gateways[0]
         loads = {engine.identity: FULL for engine in world.endpoints}
         now = trio.current_time()
-        daemon._state.fleet_load.take_report("10.0.0.9", loads, now)
-        context.reading = Reading(world, 200, SMALL_SIZE)
+        daemon._state.fleet_load.apply_report("10.0.0.9", loads, now)
+        context.reading = StreamReading(world, 200, SMALL_SIZE)
         await context.reading.read()
         context.long_runs = world.runs("model")
         context.seconds = trio.current_time() - now
-        context.short = Reading(world, 10, SMALL_SIZE)
+        context.short = StreamReading(world, 10, SMALL_SIZE)
         await context.short.read()
 
     context.ingress.run(script)
@@ -303,13 +303,13 @@
         loads = {engine.identity: FULL for engine in world.endpoints}
         fleet_load = daemon._state.fleet_load
         asked = trio.current_time()
-        fleet_load.take_report("10.0.0.9", loads, asked)
-        context.reading = Reading(world, 200, SMALL_SIZE)
+        fleet_load.apply_report("10.0.0.9", loads, asked)
+        context.reading = StreamReading(world, 200, SMALL_SIZE)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.reading.read)
             await trio.sleep(seconds)
-            fleet_load.take_report("10.0.0.9", {}, trio.current_time())
-            await context.reading.wait_events(1)
+            fleet_load.apply_report("10.0.0.9", {}, trio.current_time())
+            await context.reading.wait_for_events(1)
             context.seconds = trio.current_time() - asked
 
     context.ingress.run(script)
@@ -332,10 +332,10 @@
 @when("a caller disconnects from a stream midway")
 def leave_stream(context):
     async def script(world):
-        reading = Reading(world, 400, SMALL_SIZE)
+        reading = StreamReading(world, 400, SMALL_SIZE)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(reading.read)
-            await reading.wait_events(5)
+            await reading.wait_for_events(5)
             nursery.cancel_scope.cancel()
         await trio.sleep(0.3)
         context.still_open = sum(e.open_streams for e in world.endpoints)
--- a/features/steps/large_fleet_steps.py
+++ b/features/steps/large_fleet_steps.py
@@ -19,12 +19,12 @@
 from piershore.core.fleet.fleet_load import FleetLoad
 from piershore.core.fleet.generation_work import GenerationSize, GenerationWork
 from piershore.core.fleet.length_estimate import LengthEstimate
-from piershore.core.fleet.load_note import LoadNote
+from piershore.core.fleet.load_update import LoadUpdate
 from piershore.core.fleet.peer_table import PeerTable
 from piershore.core.fleet.placement_policy import (
     DEFAULT_PLACEMENT,
 )
-from piershore.core.fleet.report_pace import report_interval
+from piershore.core.fleet.report_timing import report_interval
 from piershore.core.fleet.subsetting import EndpointSubsets
 
 SEED = 68
@@ -162,16 +162,16 @@
     assert placed() in own
     assert placed(excluded=own) not in own
     full = EndpointLoad(24, 34_000, 34_000, 0)
-    loads.take_report("peer", dict.fromkeys(own, full), 0.0)
+    loads.apply_report("peer", dict.fromkeys(own, full), 0.0)
     assert placed(anywhere=True) not in own
     for identity in own:
         while not health.is_ejected(identity, 0.0):
-            health.note_failure(identity, 0.0)
+            health.record_failure(identity, 0.0)
     assert placed() not in own
 
 
 def note(number, requests, incarnation="life"):
-    return LoadNote("peer", incarnation, number, "i-0", EndpointLoad(requests))
+    return LoadUpdate("peer", incarnation, number, "i-0", EndpointLoad(requests))
 
 
 @then("a load update counts until its gateway's next report, and not after a newer one")
@@ -179,22 +179,22 @@
     table, loads = PeerTable("self", (), 0.0), FleetLoad()
 
     def take_note(*arguments):
-        told = LoadNote.decode(note(*arguments).encode())
+        told = LoadUpdate.decode(note(*arguments).encode())
         if table.is_newer(told):
-            loads.take_part(told.host, told.endpoint, told.load)
+            loads.apply_update(told.host, told.endpoint, told.load)
         return loads.at("i-0").requests
 
     assert take_note(1, 5) == 0, "an update from an unknown gateway"
-    table.take(peer_report("peer", 2), 0.0)
-    loads.take_report("peer", {"i-0": EndpointLoad(1), "i-1": EndpointLoad(1)}, 0.0)
+    table.apply_report(peer_report("peer", 2), 0.0)
+    loads.apply_report("peer", {"i-0": EndpointLoad(1), "i-1": EndpointLoad(1)}, 0.0)
     assert take_note(3, 2) == 2
     assert take_note(3, 2) == 2, "a repeated update"
     assert take_note(1, 7) == 2, "an update from before the report"
     assert take_note(9, 7, "another life") == 2
     assert loads.at("i-1").requests == 1
-    loads.take_report("peer", {"i-0": EndpointLoad(4)}, 1.0)
+    loads.apply_report("peer", {"i-0": EndpointLoad(4)}, 1.0)
     assert loads.at("i-0").requests == 4
     loads.forget_peers(2.0)
     assert loads.at("i-0").requests == 0
-    loads.take_part("peer", "i-0", EndpointLoad(3))
+    loads.apply_update("peer", "i-0", EndpointLoad(3))
     assert loads.at("i-0").requests == 0
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -60,7 +60,7 @@
     empty = SlotTable.create(SERVICE, SLOTS, now - 9_000, SPEC_VERSION)
     old = take_all(empty, first, now - 5_000)
     for index in range(SLOTS):
-        old = old.want(index, second)
+        old = old.mark_wanted(index, second)
     name = ObjectName(ObjectKind.SLOTS, SERVICE)
     record = encode(take_all(old, second, now + LEASE_MILLISECONDS))
     context.store = OneRecordStore(StoredObject(name, 20, record))
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -7,8 +7,8 @@
 import trio
 from behave import given, then, when
 from support.core_checks import fleet_of
-from support.gateway_states import known, state_of
-from support.stream_reading import Reading, SMALL_SIZE, wait_for_peers
+from support.gateway_states import known_endpoint, state_of
+from support.stream_reading import SMALL_SIZE, StreamReading, wait_for_peers
 
 from devtools.bench.call_simulation import CallRun, CallSettings
 from piershore.core.fleet.endpoint import Address, EndpointStage
@@ -120,16 +120,16 @@
 async def by_report(world, engine=None):
     engine = engine or world.endpoints[3]
     engine.tells_leaving = True
-    endpoint = known(world, engine)
+    endpoint = known_endpoint(world, engine)
     async with state_of(world).pool.borrow(endpoint, IDLE_SECONDS) as connection:
-        await EngineReports().ask(connection, endpoint.address)
+        await EngineReports().probe(connection, endpoint.address)
     return engine
 
 
 async def by_move(world):
     engine, target = world.endpoints[3:]
     engine.tells_leaving = True
-    endpoint = known(world, engine)
+    endpoint = known_endpoint(world, engine)
     async with state_of(world).pool.borrow(endpoint, IDLE_SECONDS) as connection:
         await EngineMover().move(
             connection, endpoint.address, "none", target.address, is_last=False
@@ -168,11 +168,13 @@
 
 
 async def write_again(world, standin):
-    other = replace(known(world, standin), data_hall="lekki")
+    other = replace(known_endpoint(world, standin), data_hall="lekki")
     standin.data_hall = other.data_hall
     world.list_endpoint(standin)
-    await wait_until(lambda: known(world, standin).data_hall == other.data_hall)
-    assert known(world, standin).data_hall == other.data_hall
+    await wait_until(
+        lambda: known_endpoint(world, standin).data_hall == other.data_hall
+    )
+    assert known_endpoint(world, standin).data_hall == other.data_hall
 
 
 async def read_again(world, standin):
@@ -186,15 +188,15 @@
     directory = state_of(world).directory
     listed = [replace(e, stage=EndpointStage.READY) for e in directory]
     follower = world.gateways[0][1]._endpoints
-    follower.take_from_peer(listed, directory.revision + 1)
+    follower.apply_from_peer(listed, directory.revision + 1)
 
 
 async def lapse(world, standin):
     world.store.remove("servers", standin.identity)
-    await wait_until(lambda: known(world, standin) is None)
+    await wait_until(lambda: known_endpoint(world, standin) is None)
     world.list_endpoint(standin)
-    await wait_until(lambda: known(world, standin) is not None)
-    assert known(world, standin) is not None
+    await wait_until(lambda: known_endpoint(world, standin) is not None)
+    assert known_endpoint(world, standin) is not None
 
 
 NEWS = {
@@ -220,7 +222,7 @@
     async def script(world):
         other = world.endpoints[0]
         other.tells_leaving = True
-        stale = replace(known(world, other), name="i-before")
+        stale = replace(known_endpoint(world, other), name="i-before")
         directory = state_of(world).directory
         directory.put(stale)
         for standin in world.endpoints[1:3]:
@@ -242,11 +244,11 @@
 @when("its engine announces that it leaves in the answer to a probe")
 def tell_beside_stream(context):
     async def script(world):
-        context.reading = Reading(world, LONG_EVENTS, SMALL_SIZE)
+        context.reading = StreamReading(world, LONG_EVENTS, SMALL_SIZE)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.reading.read)
-            await context.reading.wait_events(10)
-            engine = context.reading.running_at()
+            await context.reading.wait_for_events(10)
+            engine = context.reading.running_endpoint()
             await by_report(world, engine)
         context.engine = engine
 
@@ -265,11 +267,11 @@
 @when("an engine's stream falls silent, and its report says that it leaves")
 def tell_in_silence(context):
     async def script(world):
-        reading = Reading(world, LONG_EVENTS, SMALL_SIZE)
+        reading = StreamReading(world, LONG_EVENTS, SMALL_SIZE)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(reading.read)
-            await reading.wait_events(10)
-            engine = reading.running_at()
+            await reading.wait_for_events(10)
+            engine = reading.running_endpoint()
             engine.state = "draining"
             engine.silence = Silence.PAUSED
             directory = state_of(world).directory
--- a/features/steps/output_length_steps.py
+++ b/features/steps/output_length_steps.py
@@ -69,7 +69,7 @@
     outputs = context.outputs
     told = outputs.lengths.report(outputs.now)
     outputs.lengths = OutputLengths()
-    outputs.lengths.take_report("peer", told, outputs.now)
+    outputs.lengths.apply_report("peer", told, outputs.now)
 
 
 @then("400 more have 0.85 to 1.15 times the tokens expected of them")
--- a/features/steps/own_rate_steps.py
+++ b/features/steps/own_rate_steps.py
@@ -9,7 +9,10 @@
 from support.core_checks import checked
 
 from devtools.rate_window import allowed_requests, most_in_window, WINDOW_SECONDS
-from piershore.core.limits.endpoint_rate import CROSSING_SECONDS, EndpointRate
+from piershore.core.limits.endpoint_rate_limiter import (
+    EndpointRateLimiter,
+    MAX_REORDERING_SECONDS,
+)
 from piershore.core.outcome import Outcome
 from standins.engine import EngineStandin
 from standins.engine_model import EngineSettings
@@ -43,7 +46,7 @@
             await agent.wait_for(number, "answered", "ended", "refused")
         context.times = list(agent.standin.naming.times)
         agent.standin.naming.rate = None
-        await trio.sleep(CROSSING_SECONDS + 1 / RATE)
+        await trio.sleep(MAX_REORDERING_SECONDS + 1 / RATE)
         send(100)
         await agent.wait_for(100, "answered", "ended", "refused")
         later = range(101, 101 + LATER)
@@ -87,30 +90,30 @@
         examples=100,
     )
     def check(rate, gaps):
-        limit = EndpointRate()
+        limit = EndpointRateLimiter()
         limit.record_answer(rate, 0.0)
         now, sent = 0.0, []
         for gap in gaps:
             now += gap
-            if limit.take(now):
+            if limit.try_acquire(now):
                 sent.append(now)
             else:
-                assert limit.seconds_left(now) > 0
+                assert limit.seconds_until_available(now) > 0
         burst = max(1.0, rate)
         assert most_in_window(sent, 0.0) <= rate * WINDOW_SECONDS + burst
 
 
 @then("an answer without a rate ends it, unless it has crossed one that named it")
 def check_end(context):
-    limit = EndpointRate()
-    assert limit.take(0.0)
+    limit = EndpointRateLimiter()
+    assert limit.try_acquire(0.0)
     limit.record_answer(0.5, 1.0)
-    assert limit.take(1.0)
-    assert not limit.take(1.1)
+    assert limit.try_acquire(1.0)
+    assert not limit.try_acquire(1.1)
     limit.record_answer(None, 1.2)
-    assert not limit.take(1.3)
-    limit.record_answer(None, 1.0 + CROSSING_SECONDS)
-    assert limit.take(1.0 + CROSSING_SECONDS)
+    assert not limit.try_acquire(1.3)
+    limit.record_answer(None, 1.0 + MAX_REORDERING_SECONDS)
+    assert limit.try_acquire(1.0 + MAX_REORDERING_SECONDS)
     limit.record_answer(0.0, 3.0)
-    assert limit.take(3.0), "nobody finds out when that is over"
-    assert not limit.take(4.0)
+    assert limit.try_acquire(3.0), "nobody finds out when that is over"
+    assert not limit.try_acquire(4.0)
--- a/features/steps/own_rest_steps.py
+++ b/features/steps/own_rest_steps.py
@@ -19,8 +19,8 @@
 from piershore.core.outcome import Outcome
 from piershore.core.ownership.interval import Owner
 from piershore.core.refusal_reason import RefusalReason
-from piershore.core.routing.endpoint_choice import LeastWorkOfTwo
 from piershore.core.routing.endpoint_state import EndpointState
+from piershore.core.routing.load_balancing_policy import LeastWorkOfTwo
 from piershore.endpoints.http_engine_client import HttpEngineClient
 from piershore.endpoints.http_service_client import HttpServiceClient
 from piershore.gateway.agent_links import AgentLinks
--- a/features/steps/own_return_history_steps.py
+++ b/features/steps/own_return_history_steps.py
@@ -9,7 +9,7 @@
 import orjson
 import trio
 from behave import then
-from support.returning_store import ReturningStore, StoreClient
+from support.restorable_store import RestorableStore, StoreClient
 from trio.testing import MockClock
 
 from piershore.core.configuration.codec import encode
@@ -82,7 +82,7 @@
 
     def __init__(self, seed):
         self.random = Random(seed)
-        self.store = ReturningStore(seed)
+        self.store = RestorableStore(seed)
         self.numbers = count(1)
         self.gateways = [OwnGateway(self, number) for number in range(GATEWAYS)]
         self.accepted: dict[ObjectName, StoredObject] = {}
@@ -138,7 +138,7 @@
         self.store.is_out = True
         await trio.sleep(self.random.uniform(0.05, 0.5))
         self.lost += self.store.number > copy.number
-        self.store.come_back(copy)
+        self.store.restore_from(copy)
         if cut is not None:
             cut.store.is_cut = True
         self.store.is_out = False
@@ -181,7 +181,7 @@
     async def come_back(self, copy):
         """Come back while the other gateways are cut off for longer than a second."""
         self.cut(True)
-        self.store.come_back(copy)
+        self.store.restore_from(copy)
         await trio.sleep(1.0)
 
     def cut(self, is_cut):
@@ -237,7 +237,7 @@
         copy = history.store.copy()
         await announce("two", before.version)
         await trio.sleep(1.0)
-        history.store.come_back(copy)
+        history.store.restore_from(copy)
         await history.insist(history.first.editor.drain, name.name, True)
 
     trio.run(history.run, script, clock=MockClock(autojump_threshold=0))
@@ -256,7 +256,7 @@
         put = history.first.editor.put
         lost = await put(name, {"parameters": {"concurrent_requests": 1}}, 0)
         await trio.sleep(1.0)
-        history.store.come_back(copy)
+        history.store.restore_from(copy)
         # From one who hadn't heard of the return, and ended before he had the answer.
         later = lost.value.replace(b":1,", b":2,")
         again = history.store.write(name, later, 0, ("w",), 0)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -10,17 +10,17 @@
 from support.core_checks import check_coded_errors, checked
 
 from piershore.core.outcome import Outcome
-from piershore.core.quarantine.crash_note import (
-    CrashNote,
-    decode_notes,
-    encode_notes,
-    MARK,
+from piershore.core.quarantine.crash_report import (
+    CrashReport,
+    decode_reports,
+    encode_reports,
+    PREFIX,
 )
 from piershore.core.quarantine.endpoint_runs import EndpointRuns
 from piershore.core.quarantine.quarantine import (
-    MOST_CRASHES,
-    MOST_RECORDS,
-    PROBE_SECONDS,
+    CRASHES_BEFORE_QUARANTINE,
+    MAX_RECORDS,
+    PROBE_DELAYS_SECONDS,
     Quarantine,
 )
 from piershore.core.refusal_reason import RefusalReason
@@ -44,13 +44,13 @@
     long = runs.begin("e-1", "r-long", "long")
     waiting = runs.begin("e-1", "r-waiting", "waiting")
     done = runs.begin("e-1", "r-done", "done")
-    long.note_part(1.0)
-    new.note_part(2.9)
+    long.record_chunk(1.0)
+    new.record_chunk(2.9)
     runs.end("e-1", done)
-    runs.leave("e-1", new, 3.0)
+    runs.abandon("e-1", new, 3.0)
     assert list(runs.suspects("e-1", 3.5)) == [new, waiting]
     assert not list(runs.suspects("e-2", 3.5))
-    runs.clear("e-1")
+    runs.clear_abandoned("e-1")
     assert list(runs.suspects("e-1", 3.5)) == [waiting]
 
 
@@ -63,23 +63,23 @@
         notes = []
         for engine in ENGINES[: random.randint(2, 4)]:
             seer = random.choice(gateways)
-            seer.note_crash(CONTENT, engine, 1.0)
-            notes.append(seer.note(CONTENT))
+            seer.record_crash(CONTENT, engine, 1.0)
+            notes.append(seer.report(CONTENT))
             if "excuses" in news and random.random() < 0.4:
                 teller = random.choice(gateways)
-                if teller.note_whole(CONTENT, 1.5):
-                    notes.append(teller.note(CONTENT))
+                if teller.record_completion(CONTENT, 1.5):
+                    notes.append(teller.report(CONTENT))
         told = [random.sample(notes * 2, len(notes) * 2) for _ in gateways]
         for gateway, heard in zip(gateways, told, strict=True):
             for note in heard:
-                gateway.take(decode_notes(encode_notes([note]))[0], 2.0)
+                gateway.apply_report(decode_reports(encode_reports([note]))[0], 2.0)
         # Each gateway reports once more, after it has merged all reports.
-        last = [gateway.note(CONTENT) for gateway in gateways]
+        last = [gateway.report(CONTENT) for gateway in gateways]
         for gateway in gateways:
             for note in last:
-                gateway.take(note, 2.5)
-        assert len({gateway.note(CONTENT) for gateway in gateways}) == 1
-        assert len({gateway.is_held(CONTENT) for gateway in gateways}) == 1
+                gateway.apply_report(note, 2.5)
+        assert len({gateway.report(CONTENT) for gateway in gateways}) == 1
+        assert len({gateway.is_quarantined(CONTENT) for gateway in gateways}) == 1
 
 
 @then("no request is quarantined when a data hall crashes and its callers retry")
@@ -103,17 +103,17 @@
         for engine in crashing:
             identity = f"{engine}@{number}"
             for run in list(runs.suspects(identity, now)):
-                quarantine.note_crash(run.content, identity, now)
-                runs.leave(identity, run, now)
+                quarantine.record_crash(run.content, identity, now)
+                runs.abandon(identity, run, now)
         lost = [content for content, engine in at.items() if engine in crashing]
-        assert not any(quarantine.is_held(content) for content in lost)
+        assert not any(quarantine.is_quarantined(content) for content in lost)
         for content in at.keys() - set(lost):
             runs.end(f"{at[content]}@{number}", open_runs[content])
-            quarantine.note_whole(content, now)
-        again = [c for c in lost if quarantine.seconds_held(c, now) is None]
+            quarantine.record_completion(content, now)
+        again = [c for c in lost if quarantine.seconds_until_release(c, now) is None]
         assert again == lost
         for content in again:
-            quarantine.note_whole(content, now + 1.0)
+            quarantine.record_completion(content, now + 1.0)
     assert not len(quarantine)
 
 
@@ -123,11 +123,11 @@
     for number, engine in enumerate(ENGINES[:3]):
         began = 10.0 * number
         run = runs.begin(engine, "r", CONTENT)
-        run.note_part(began)
-        runs.leave(engine, run, began + 2.0)
+        run.record_chunk(began)
+        runs.abandon(engine, run, began + 2.0)
         for suspect in runs.suspects(engine, began + 2.0):
-            quarantine.note_crash(suspect.content, engine, began + 2.0)
-    assert not quarantine.is_held(CONTENT)
+            quarantine.record_crash(suspect.content, engine, began + 2.0)
+    assert not quarantine.is_quarantined(CONTENT)
 
 
 @then(
@@ -136,18 +136,18 @@
 )
 def check_sound(context, seconds):
     knows, new = Quarantine(), Quarantine()
-    knows.note_whole(CONTENT, 0.0)
-    for engine in ENGINES[:MOST_CRASHES]:
-        assert knows.note_crash(CONTENT, engine, 1.0) == 0
-        new.note_crash(CONTENT, engine, 1.0)
-    assert not knows.is_held(CONTENT)
-    assert new.is_held(CONTENT)
-    new.take(knows.note(CONTENT), 1.1)
-    assert not new.is_held(CONTENT)
+    knows.record_completion(CONTENT, 0.0)
+    for engine in ENGINES[:CRASHES_BEFORE_QUARANTINE]:
+        assert knows.record_crash(CONTENT, engine, 1.0) == 0
+        new.record_crash(CONTENT, engine, 1.0)
+    assert not knows.is_quarantined(CONTENT)
+    assert new.is_quarantined(CONTENT)
+    new.apply_report(knows.report(CONTENT), 1.1)
+    assert not new.is_quarantined(CONTENT)
     late = seconds + 1.0
-    assert knows.note_crash(CONTENT, "e-8", late) == 1
-    assert knows.note_crash(CONTENT, "e-9", late) == 2
-    assert knows.is_held(CONTENT)
+    assert knows.record_crash(CONTENT, "e-8", late) == 1
+    assert knows.record_crash(CONTENT, "e-9", late) == 2
+    assert knows.is_quarantined(CONTENT)
 
 
 @then(
@@ -156,50 +156,53 @@
 )
 def check_probe(context, seconds):
     one, other = Quarantine(), Quarantine()
-    for engine in ENGINES[:MOST_CRASHES]:
-        one.note_crash(CONTENT, engine, 0.0)
-    other.take(one.note(CONTENT), 0.0)
-    assert other.seconds_held(CONTENT, 1.0) == seconds - 1.0
-    assert one.seconds_held(CONTENT, seconds) is None
-    assert one.note_sent(CONTENT, seconds)
-    other.take(one.note(CONTENT), seconds)
-    assert other.seconds_held(CONTENT, seconds) == PROBE_SECONDS[1]
-    one.note_whole(CONTENT, seconds + 0.5)
-    other.take(one.note(CONTENT), seconds + 0.5)
-    assert other.seconds_held(CONTENT, seconds + 0.6) is None
+    for engine in ENGINES[:CRASHES_BEFORE_QUARANTINE]:
+        one.record_crash(CONTENT, engine, 0.0)
+    other.apply_report(one.report(CONTENT), 0.0)
+    assert other.seconds_until_release(CONTENT, 1.0) == seconds - 1.0
+    assert one.seconds_until_release(CONTENT, seconds) is None
+    assert one.record_sent(CONTENT, seconds)
+    other.apply_report(one.report(CONTENT), seconds)
+    assert other.seconds_until_release(CONTENT, seconds) == PROBE_DELAYS_SECONDS[1]
+    one.record_completion(CONTENT, seconds + 0.5)
+    other.apply_report(one.report(CONTENT), seconds + 0.5)
+    assert other.seconds_until_release(CONTENT, seconds + 0.6) is None
     # Each probe that fails defers the next one, until no more probes are sent.
-    for number in range(len(PROBE_SECONDS) + 1):
-        one.note_crash(CONTENT, f"f-{number}", 100.0)
-        one.note_crash(CONTENT, f"g-{number}", 100.0)
-    assert one.seconds_held(CONTENT, 100.0 + max(PROBE_SECONDS)) is not None
+    for number in range(len(PROBE_DELAYS_SECONDS) + 1):
+        one.record_crash(CONTENT, f"f-{number}", 100.0)
+        one.record_crash(CONTENT, f"g-{number}", 100.0)
+    assert (
+        one.seconds_until_release(CONTENT, 100.0 + max(PROBE_DELAYS_SECONDS))
+        is not None
+    )
 
 
 @then(
     "of {suspected:d} suspected requests {most:d} are remembered, and those in quarantine"
 )
 def check_flood(context, suspected, most):
-    assert most == MOST_RECORDS
+    assert most == MAX_RECORDS
     quarantine = Quarantine()
-    for engine in ENGINES[:MOST_CRASHES]:
-        quarantine.note_crash(CONTENT, engine, 0.0)
+    for engine in ENGINES[:CRASHES_BEFORE_QUARANTINE]:
+        quarantine.record_crash(CONTENT, engine, 0.0)
     for number in range(suspected):
-        quarantine.note_crash(f"flood-{number}", "e-1", 1.0)
-    assert quarantine.is_held(CONTENT)
+        quarantine.record_crash(f"flood-{number}", "e-1", 1.0)
+    assert quarantine.is_quarantined(CONTENT)
     assert len(quarantine._records) == most
-    assert quarantine.note(f"flood-{suspected - 1}") is not None
-    assert quarantine.note("flood-0") is None
+    assert quarantine.report(f"flood-{suspected - 1}") is not None
+    assert quarantine.report("flood-0") is None
 
 
 @then("crash reports are decoded or refused with their code")
 def check_notes(context):
-    check_coded_errors(lambda data: decode_notes(MARK + data), st.binary())
+    check_coded_errors(lambda data: decode_reports(PREFIX + data), st.binary())
     check_coded_errors(_decode, st.lists(st.lists(NOTES, max_size=5), max_size=3))
-    note = CrashNote(CONTENT, frozenset(ENGINES), frozenset(ENGINES[:1]), 2)
-    assert decode_notes(encode_notes([note])) == (note,)
+    note = CrashReport(CONTENT, frozenset(ENGINES), frozenset(ENGINES[:1]), 2)
+    assert decode_reports(encode_reports([note])) == (note,)
 
 
 def _decode(fields):
-    return decode_notes(MARK + repr(fields).replace("'", '"').encode())
+    return decode_reports(PREFIX + repr(fields).replace("'", '"').encode())
 
 
 ENGINE_LOST = (
@@ -308,7 +311,7 @@
 def check_next(context, code):
     assert context.errors[1].code == code
     assert context.errors[1].outcome is Outcome.NOT_RUN
-    assert 0 < context.errors[1].retry_after <= PROBE_SECONDS[0]
+    assert 0 < context.errors[1].retry_after <= PROBE_DELAYS_SECONDS[0]
 
 
 @then("{most:d} retries were spent at most, and the caller is told {code}")
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -9,12 +9,12 @@
 
 import orjson
 import trio
+from backoff_steps import call_while, crash_under_stream, send, SERVICES, standins_of
 from behave import then, when
 from hypothesis import strategies as st
 from notice_steps import SEEDS
-from rest_steps import call_while, crash_under_stream, send, SERVICES, standins_of
 from support.core_checks import checked, fleet_of
-from support.gateway_states import known, state_of
+from support.gateway_states import known_endpoint, state_of
 from support.placements import placement_over
 from support.stream_reading import wait_for_peers
 
@@ -26,20 +26,20 @@
     WINDOW_SECONDS,
 )
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
-from piershore.core.fleet.endpoint_notice import NO_NOTICE, PLAIN_NOTICE
+from piershore.core.fleet.endpoint_notice import NO_NOTICE, UNRESTRICTED_NOTICE
 from piershore.core.fleet.endpoint_rate_limits import (
     EndpointRateLimits,
-    quota_of,
+    fleet_quota,
+    PROBE_AFTER_SECONDS,
     RateReport,
-    TOLD_SECONDS,
-    UNCONFIRMED_SECONDS,
+    REPORTED_SECONDS,
     UNLIMITED,
 )
 from piershore.core.fleet.fleet_load import FleetLoad
 from piershore.core.fleet.peer_report import InvalidReportError, PeerReport
 from piershore.core.fleet.rate_shares import RateShares
 from piershore.core.fleet.store_revision import StoreRevision
-from piershore.core.fleet.store_silence import StoreSign
+from piershore.core.fleet.store_silence import StoreLiveness
 from piershore.core.fleet.subsetting import EndpointSubsets
 from piershore.core.routes.current_configuration import CurrentConfiguration
 from piershore.http1.message import ResponseHead
@@ -130,7 +130,7 @@
 def check_parts(context):
     @checked(st.floats(0.01, 500), st.integers(1, 500))
     def check(rate, gateways):
-        quota = quota_of(rate, gateways)
+        quota = fleet_quota(rate, gateways)
         assert quota.requests >= gateways or quota.window >= WINDOW_SECONDS
         assert quota.requests <= max(1, rate * quota.window)
 
@@ -177,7 +177,7 @@
 def name_unreadable(context, value):
     async def script(world):
         endpoint = world.endpoints[0]
-        identity = known(world, endpoint).identity
+        identity = known_endpoint(world, endpoint).identity
         limits = state_of(world).limits
         endpoint.rate_limit = "2"
         while not limits.is_limited(identity):
@@ -219,7 +219,7 @@
     dialect = PlatformDialect()
     assert dialect.read_notice(ResponseHead(200, ())) == NO_NOTICE
     named = ((b"attempt-id", b"a"),)
-    assert dialect.read_notice(ResponseHead(200, named)) == PLAIN_NOTICE
+    assert dialect.read_notice(ResponseHead(200, named)) == UNRESTRICTED_NOTICE
     assert dialect.read_notice(ResponseHead(421, named)) == NO_NOTICE
 
 
@@ -243,7 +243,7 @@
     assert list(second.apply_report(first.report(11.1), 11.1)) == []
     assert list(first.apply_report(second.report(11.1), 11.1)) == [IDENTITY]
     assert not first.is_limited(IDENTITY)
-    first.forget_old(11.0 + TOLD_SECONDS)
+    first.drop_expired(11.0 + REPORTED_SECONDS)
     assert list(first.limited()) == []
 
 
@@ -274,7 +274,7 @@
         fingerprint=1,
         reads_store=True,
         is_leaving=False,
-        store_sign=StoreSign(0.1, False),
+        store_liveness=StoreLiveness(0.1, False),
         link_megabits=10.0,
         members=(),
         loads={},
@@ -291,12 +291,12 @@
     for tenth in range(200):
         now = tenth / 10
         for number, view in enumerate(views):
-            has_part = bool(view.part(ENDPOINT).requests)
+            has_part = bool(view.quota(ENDPOINT).requests)
             if not has_part and view.claim(ENDPOINT, now):
                 asked.append((number, now))
     assert len(asked) == 3, "gateways without a quota must probe once each"
     assert len({at for _, at in asked}) == 3, "gateways probe at the same time"
-    assert min(at for _, at in asked) >= UNCONFIRMED_SECONDS
+    assert min(at for _, at in asked) >= PROBE_AFTER_SECONDS
 
 
 @then("it gets one each 10 s from all gateways together")
@@ -313,7 +313,7 @@
                     other.record_answer(IDENTITY, 0.0, tenth / 10)
     gaps = [later - earlier for earlier, later in pairwise(sent)]
     assert sent, "no gateway probes whether the limit has ended"
-    assert min(gaps) >= UNCONFIRMED_SECONDS, gaps
+    assert min(gaps) >= PROBE_AFTER_SECONDS, gaps
 
 
 @when(
@@ -325,7 +325,7 @@
         limits = state_of(world).limits
         for standin in standins_of(world, name):
             standin.rate_limit = "1"
-            identity = known(world, standin).identity
+            identity = known_endpoint(world, standin).identity
             limits.record_answer(identity, 1.0, trio.current_time())
         context.replies, context.seconds = [], []
 
@@ -352,7 +352,7 @@
             state = state_of(world, number)
             now = trio.current_time()
             for standin in standins_of(world, "desk"):
-                endpoint = known(world, standin, number)
+                endpoint = known_endpoint(world, standin, number)
                 state.limits.record_answer(endpoint.identity, 0.0, now)
                 state.limits.claim(endpoint, now)
         context.replies = [await world.call("once", number=n) for n in world.gateways]
@@ -399,7 +399,7 @@
 @when("the engine of a large stream crashes while its backup's rate limit is reached")
 def crash_before_limited(context):
     def prepare(world, backup):
-        use_up(state_of(world), known(world, backup))
+        use_up(state_of(world), known_endpoint(world, backup))
 
     crash_under_stream(context, prepare)
 
@@ -420,10 +420,10 @@
     limits = EndpointRateLimits(RateShares("self", subsets, CurrentConfiguration()))
     placement = placement_over(directory, FleetLoad(), subsets=subsets, limits=limits)
     limits.record_answer(endpoints[0].identity, 0.5, 0.0)
-    assert endpoints[0] in placement.sound_of("model", 0.0)
+    assert endpoints[0] in placement.available_endpoints("model", 0.0)
     while limits.claim(endpoints[0], 0.0):
         pass
-    assert endpoints[0] not in placement.sound_of("model", 0.0)
+    assert endpoints[0] not in placement.available_endpoints("model", 0.0)
     assert list(limits.limited()) == [endpoints[0].identity]
 
 
@@ -436,9 +436,9 @@
         endpoint = world.endpoints[0]
         state = state_of(world)
         endpoint.rate_limit = "0.5"
-        while not state.limits.is_limited(known(world, endpoint).identity):
+        while not state.limits.is_limited(known_endpoint(world, endpoint).identity):
             await world.call("once")
-        use_up(state, known(world, endpoint))
+        use_up(state, known_endpoint(world, endpoint))
         await world.call("once", request="abc")
         world.gateways[0][1]._log.flush()
 
--- a/features/steps/restarted_endpoint_steps.py
+++ b/features/steps/restarted_endpoint_steps.py
@@ -10,15 +10,15 @@
 from hypothesis import strategies as st
 from support.core_checks import checked, endpoint
 from support.ingress_world import IngressWorld
-from support.stream_reading import Reading, SMALL_SIZE
+from support.stream_reading import SMALL_SIZE, StreamReading
 
 from piershore.core.fleet.endpoint import EndpointStage
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
 from piershore.core.fleet.endpoint_load import EndpointLoad, NO_LOAD
 from piershore.core.streams.silence import (
     EndpointReport,
-    judge_silence,
-    SilenceVerdict,
+    evaluate_silence,
+    SilenceDecision,
     SilentStream,
 )
 
@@ -77,11 +77,11 @@
 def start_anew_midway(context, size, count):
     async def script(world):
         context.count = count
-        context.reading = Reading(world, count, SIZES[size])
+        context.reading = StreamReading(world, count, SIZES[size])
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_read, context)
-            await context.reading.wait_events(100)
-            source = context.reading.running_at()
+            await context.reading.wait_for_events(100)
+            source = context.reading.running_endpoint()
             source.start_anew(REBORN)
             context.restarted_at = trio.current_time()
             world.list_endpoint(source)
@@ -118,16 +118,16 @@
 
 @then("a silent stream is given up if a later incarnation answers")
 def check_later(context):
-    stream = SilentStream("r", 5, can_go_on_elsewhere=False, born=BORN)
-    report = EndpointReport(is_leaving=False, made_events={}, born=REBORN)
-    assert judge_silence(stream, report, 0) is SilenceVerdict.GIVE_UP
+    stream = SilentStream("r", 5, can_resume_elsewhere=False, born=BORN)
+    report = EndpointReport(is_leaving=False, generated_events={}, born=REBORN)
+    assert evaluate_silence(stream, report, 0) is SilenceDecision.GIVE_UP
 
 
 @then("a report from an earlier incarnation is ignored")
 def check_earlier(context):
-    stream = SilentStream("r", 5, can_go_on_elsewhere=True, born=REBORN)
-    report = EndpointReport(is_leaving=True, made_events={"r": 50}, born=BORN)
-    assert judge_silence(stream, report, 0) is SilenceVerdict.WAIT
+    stream = SilentStream("r", 5, can_resume_elsewhere=True, born=REBORN)
+    report = EndpointReport(is_leaving=True, generated_events={"r": 50}, born=BORN)
+    assert evaluate_silence(stream, report, 0) is SilenceDecision.WAIT
 
 
 async def _restart(world, *, late_entry=None):
@@ -135,9 +135,9 @@
     _, daemon = world.gateways[0]
     state, engine = daemon._state, world.endpoints[0]
     before = f"{engine.identity}@{BORN}"
-    state.fleet_load.take_report("10.0.0.9", {before: EndpointLoad(9, 9, 9, 9)}, 0.0)
+    state.fleet_load.apply_report("10.0.0.9", {before: EndpointLoad(9, 9, 9, 9)}, 0.0)
     for _ in range(4):
-        state.health.note_failure(before, trio.current_time())
+        state.health.record_failure(before, trio.current_time())
     engine.born = REBORN
     world.list_endpoint(engine)
     await _wait_known(world, engine, REBORN)
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -15,21 +15,21 @@
 from support.gateway_states import state_of
 from support.ingress_world import configuration, IngressWorld, route
 from support.store_returns import (
-    change_often,
-    come_back_from_before,
-    come_back_without,
+    endpoints_in_use,
     identities,
-    known_at,
     POLL_SECONDS,
+    remove_entry,
+    restore_copy_from_before,
+    restore_copy_without,
     SETTLE_SECONDS,
-    unlist,
-    wait_known,
+    wait_for_endpoints,
+    write_unrelated_entries,
 )
 from support.stream_reading import wait_for_peers
 
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
 from piershore.core.fleet.store_era import StoreEra
-from piershore.core.fleet.store_revision import LARGEST_ERA, StoreRevision
+from piershore.core.fleet.store_revision import MAX_ERA, StoreRevision
 from standins.published_endpoint import PublishedEndpoint
 
 SHORT_SECONDS = 1.0
@@ -55,7 +55,7 @@
             daemon = world.gateways[1][1]
             daemon._peers.should_watch = lambda: False
             for follower in (daemon._endpoints, daemon._configuration):
-                follower.use_watchers(daemon._peers.should_watch)
+                follower.set_watch_condition(daemon._peers.should_watch)
         await script(world)
 
     context.ingress.run(whole)
@@ -63,7 +63,7 @@
 
 @when("the store is restored from a copy 30 changes older, without an endpoint")
 def come_back(context):
-    context.steps = [lambda world: come_back_without(world, world.endpoints[2])]
+    context.steps = [lambda world: restore_copy_without(world, world.endpoints[2])]
 
 
 @when("an endpoint is added and another one removed {when} it")
@@ -74,11 +74,11 @@
         await context.steps[0](world)
         if when == "after":
             await wait_era(world, 1, gateways=(0,))
-        unlist(world, world.endpoints[0])
+        remove_entry(world, world.endpoints[0])
         world.list_endpoint(other)
         world.list_endpoint(world.endpoints[2])
         context.wanted = {"i-1", "i-2", "i-new"}
-        context.known = await wait_known(world, context.wanted)
+        context.known = await wait_for_endpoints(world, context.wanted)
 
     play(context, script)
 
@@ -98,11 +98,13 @@
         left_early = []
         with trio.move_on_after(first):
             while True:
-                left_early += [n for n in (0, 1) if known_at(world, n) != everyone]
+                left_early += [
+                    n for n in (0, 1) if endpoints_in_use(world, n) != everyone
+                ]
                 await trio.sleep(POLL_SECONDS)
         assert not left_early
         rest = everyone - {world.endpoints[2].identity}
-        context.known = await wait_known(world, rest, last - first)
+        context.known = await wait_for_endpoints(world, rest, last - first)
         assert context.known == [rest] * 2, context.known
 
     play(context, script)
@@ -114,12 +116,14 @@
 def come_back_and_list(context, seconds):
     async def script(world):
         everyone = identities(world)
-        await come_back_without(world, world.endpoints[2])
+        await restore_copy_without(world, world.endpoints[2])
         context.unknown = []
 
         async def look():
             while True:
-                context.unknown += [n for n in (0, 1) if known_at(world, n) != everyone]
+                context.unknown += [
+                    n for n in (0, 1) if endpoints_in_use(world, n) != everyone
+                ]
                 await trio.sleep(POLL_SECONDS)
 
         async with trio.open_nursery() as nursery:
@@ -148,7 +152,7 @@
     async def script(world):
         leaving, *staying = world.endpoints
         leave = partial(world.list_endpoint, leaving, "draining")
-        await come_back_from_before(world, leave, staying)
+        await restore_copy_from_before(world, leave, staying)
         await wait_era(world, 1)
         leaving.arrivals.clear()
         await send_all(world)
@@ -174,7 +178,9 @@
 def come_back_with_gone(context):
     async def script(world):
         gone, *staying = world.endpoints
-        await come_back_from_before(world, partial(unlist, world, gone), staying)
+        await restore_copy_from_before(
+            world, partial(remove_entry, world, gone), staying
+        )
         await wait_era(world, 1)
         gone.arrivals.clear()
         with trio.move_on_after(LAPSE_SECONDS):
@@ -183,7 +189,7 @@
         context.endpoint, context.sent = gone, len(gone.arrivals)
         gone.data_hall = "lekki"
         world.list_endpoint(gone)
-        context.known = await wait_known(world, identities(world))
+        context.known = await wait_for_endpoints(world, identities(world))
 
     play(context, script)
 
@@ -210,7 +216,7 @@
         world.store.put("config", "main", with_routes(5, "old"))
         await wait_versions(world, 5)
         copy = world.store.copy()
-        change_often(world, 30)
+        write_unrelated_entries(world, 30)
         world.store.put("config", "main", with_routes(6, "new"))
         await wait_versions(world, 6)
         world.store.come_back(copy)
@@ -256,10 +262,10 @@
         drained.data_hall = "lekki"
         world.list_endpoint(drained)
         copy = world.store.copy()
-        change_often(world, 30)
+        write_unrelated_entries(world, 30)
         world.store.put("evacuations", "lekki", {})
         rest = identities(world) - {drained.identity}
-        assert await wait_known(world, rest) == [rest] * 2
+        assert await wait_for_endpoints(world, rest) == [rest] * 2
         drained.arrivals.clear()
         world.store.come_back(copy)
         await trio.sleep(SHORT_SECONDS)
@@ -272,14 +278,14 @@
         copy = world.store.copy()
         world.store.remove("evacuations", "lekki")
         everyone = identities(world)
-        assert await wait_known(world, everyone) == [everyone] * 2
+        assert await wait_for_endpoints(world, everyone) == [everyone] * 2
         world.store.come_back(copy)
-        assert await wait_known(world, rest) == [rest] * 2
+        assert await wait_for_endpoints(world, rest) == [rest] * 2
         empty = world.store.copy()
         empty.objects["evacuations"].clear()
         world.store.come_back(empty)
         started = trio.current_time()
-        context.known = await wait_known(world, everyone, SETTLE_SECONDS)
+        context.known = await wait_for_endpoints(world, everyone, SETTLE_SECONDS)
         context.kept = trio.current_time() - started
         context.everyone = everyone
 
@@ -325,9 +331,9 @@
         await world.nursery.start(endpoint.serve)
         world.list_endpoint(endpoint)
         with trio.move_on_after(SETTLE_SECONDS):
-            while "i-new" not in known_at(world, 0):
+            while "i-new" not in endpoints_in_use(world, 0):
                 await trio.sleep(POLL_SECONDS)
-        context.known = known_at(world, 0)
+        context.known = endpoints_in_use(world, 0)
         for _ in range(3):
             world.gateways[0][1]._endpoints.restart()
             await trio.sleep(0.1)
@@ -356,23 +362,23 @@
         world.gateways[0][1]._endpoints.restart()
         await wait_era(world, first, gateways=(0,))
         copy = world.store.copy()
-        unlist(world, world.endpoints[0])
+        remove_entry(world, world.endpoints[0])
         rest = identities(world) - {"i-0"}
         desk = {"i-1", "i-2"}
         assert rest
         with trio.fail_after(SETTLE_SECONDS):
-            while known_at(world, 0) != desk:
+            while endpoints_in_use(world, 0) != desk:
                 await trio.sleep(POLL_SECONDS)
         world.store.come_back(replace(copy, revision=copy.revision + 100))
         world.store.era = earlier
         await trio.sleep(SHORT_SECONDS)
-        context.during = known_at(world, 0)
+        context.during = endpoints_in_use(world, 0)
         world.store.era = first + 1
         world.list_endpoint(world.endpoints[0])
         with trio.move_on_after(2 * SETTLE_SECONDS):
-            while known_at(world, 0) != {"i-0", *desk}:
+            while endpoints_in_use(world, 0) != {"i-0", *desk}:
                 await trio.sleep(POLL_SECONDS)
-        context.later = known_at(world, 0)
+        context.later = endpoints_in_use(world, 0)
 
     context.ingress.run(script)
 
@@ -385,7 +391,7 @@
 
 @then("revisions are ordered by their eras, and then by their numbers")
 def check_order(context):
-    numbers = st.tuples(st.integers(0, LARGEST_ERA), st.integers(0, 2**40 - 1))
+    numbers = st.tuples(st.integers(0, MAX_ERA), st.integers(0, 2**40 - 1))
 
     @checked(numbers, numbers)
     def check(one, other):
@@ -407,7 +413,7 @@
         copy = (frozenset(), 1)
         for step in [*steps, "read"]:
             now += 10.0
-            directory.drop_lapsed(now)
+            directory.drop_expired(now)
             number += 1
             if step == "add":
                 listed.add(random.randrange(4))
@@ -425,7 +431,7 @@
                     after_outage=False,
                 )
         for seconds in (0.0, 6.0):
-            directory.drop_lapsed(now + seconds)
+            directory.drop_expired(now + seconds)
         assert {e.name for e in directory.of_service("model")} == {
             fleet[n].name for n in listed
         }
@@ -434,13 +440,13 @@
 @then("answers of the true era are ignored for {seconds:g} s, and then accepted")
 def check_fall(context, seconds):
     era = StoreEra()
-    assert era.take("3", 0.0)
-    assert era.take("4000", 1.0)
-    assert not era.take("3", 2.0)
-    assert not era.take("3", 2.0 + seconds)
-    assert era.take("3", 2.1 + seconds)
+    assert era.observe("3", 0.0)
+    assert era.observe("4000", 1.0)
+    assert not era.observe("3", 2.0)
+    assert not era.observe("3", 2.0 + seconds)
+    assert era.observe("3", 2.1 + seconds)
     assert era.value == 4000
     assert "era 3" in era.take_finding()
     assert era.take_finding() == ""
-    assert era.take("4001", 20.0)
-    assert not era.take("4000", 21.0)
+    assert era.observe("4001", 20.0)
+    assert not era.observe("4000", 21.0)
--- a/features/support/core_checks.py
+++ b/features/support/core_checks.py
@@ -42,8 +42,8 @@
             assert error.code
 
 
-def endpoint(identity, stage=EndpointStage.READY, hall="h0"):
-    return Endpoint(identity, "s", Address("h", 1), hall, 24, stage)
+def endpoint(identity, stage=EndpointStage.READY, data_hall="h0"):
+    return Endpoint(identity, "s", Address("h", 1), data_hall, 24, stage)
 
 
 def fleet_of(count):
--- a/features/support/gateway_states.py
+++ b/features/support/gateway_states.py
@@ -8,6 +8,6 @@
     return world.gateways[number][1]._state
 
 
-def known(world, standin, number=0):
+def known_endpoint(world, standin, number=0):
     """Return an endpoint as one gateway knows it, or None."""
     return state_of(world, number).directory.get(standin.identity)
--- a/features/support/ingress_world.py
+++ b/features/support/ingress_world.py
@@ -7,7 +7,7 @@
 import trio
 
 from devtools.ports import free_port
-from piershore.core.attempts.retry_allowance import RetryLimits
+from piershore.core.attempts.retry_budget import RetryLimits
 from piershore.core.fleet.endpoint import Address
 from piershore.core.fleet.policies import Policies
 from piershore.http1.client_connection import ClientConnection
@@ -238,11 +238,11 @@
         received = reading.parts if reading else []
         is_whole = False
         try:
-            async for part in connection.read_parts():
+            async for part in connection.read_chunks():
                 if reading is None:
                     received.append(part)
                 else:
-                    await reading.take(part)
+                    await reading.receive(part)
             is_whole = True
         except ExchangeBrokenError:
             pass
--- a/features/support/peer_reports.py
+++ b/features/support/peer_reports.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from piershore.core.fleet.peer_report import PeerReport
-from piershore.core.fleet.store_silence import StoreSign
+from piershore.core.fleet.store_silence import StoreLiveness
 
-NO_SIGN = StoreSign(0.0, False)
+NO_SIGN = StoreLiveness(0.0, False)
 
 
 def peer_report(host, number):
--- a/features/support/placements.py
+++ b/features/support/placements.py
@@ -4,17 +4,17 @@
 
 from random import Random
 
-from piershore.core.fleet.asked_rests import AskedRests
 from piershore.core.fleet.cold_starts import ColdStarts
+from piershore.core.fleet.data_hall_stalls import DataHallStalls
 from piershore.core.fleet.endpoint_health import EndpointHealth
 from piershore.core.fleet.endpoint_rate_limits import EndpointRateLimits
-from piershore.core.fleet.hall_stalls import HallStalls
 from piershore.core.fleet.placement import Placement
 from piershore.core.fleet.placement_policy import (
     DEFAULT_PLACEMENT,
     PLACEMENT_POLICIES,
 )
 from piershore.core.fleet.rate_shares import RateShares
+from piershore.core.fleet.requested_backoffs import RequestedBackoffs
 from piershore.core.fleet.subsetting import EndpointSubsets
 from piershore.core.routes.current_configuration import CurrentConfiguration
 
@@ -33,9 +33,9 @@
         health or EndpointHealth(),
         Random(1),
         PLACEMENT_POLICIES[DEFAULT_PLACEMENT](),
-        stalls or HallStalls(),
+        stalls or DataHallStalls(),
         subsets,
         ColdStarts(shares, configuration),
-        AskedRests(),
+        RequestedBackoffs(),
         limits or EndpointRateLimits(shares),
     )
--- a/features/support/returning_store.py
+++ b/features/support/restorable_store.py
@@ -36,7 +36,7 @@
     number: int
 
 
-class ReturningStore:
+class RestorableStore:
     """Objects and one counter; `era` counts the restores."""
 
     def __init__(self, seed: int) -> None:
@@ -51,7 +51,7 @@
     def copy(self) -> Copy:
         return Copy(dict(self.objects), self.number)
 
-    def come_back(self, copy: Copy) -> None:
+    def restore_from(self, copy: Copy) -> None:
         self.objects = dict(copy.objects)
         self.number = self.oldest = copy.number
         self.events.clear()
@@ -76,7 +76,7 @@
 class StoreClient(PlatformStore):
     """One process's client of the store, with its known era and its connection."""
 
-    def __init__(self, store: ReturningStore) -> None:
+    def __init__(self, store: RestorableStore) -> None:
         self._store = store
         self._era = 0
         self.is_cut = False
--- a/features/support/stream_reading.py
+++ b/features/support/stream_reading.py
@@ -19,7 +19,7 @@
 IN_FORCE_SECONDS = 4.0
 
 
-class Reading:
+class StreamReading:
     """A stream that is read while something happens."""
 
     def __init__(self, world, events, size):
@@ -31,7 +31,7 @@
         self._tail = b""
         self.reply = None
         self.pause_after = None
-        self.go_on = trio.Event()
+        self.resumed = trio.Event()
 
     async def read(self):
         world = self._world
@@ -42,12 +42,12 @@
         self.reply = await world.read(connection, self)
         await connection.close()
 
-    async def take(self, part):
+    async def receive(self, part):
         self.parts.append(part)
-        if self.pause_after and self.seen() >= self.pause_after:
-            await self.go_on.wait()
+        if self.pause_after and self.count_events() >= self.pause_after:
+            await self.resumed.wait()
 
-    def seen(self):
+    def count_events(self):
         """Return how many events were received; each chunk is scanned once."""
         for part in self.parts[self._counted_parts :]:
             text = self._tail + part
@@ -56,11 +56,11 @@
         self._counted_parts = len(self.parts)
         return self._seen
 
-    async def wait_events(self, count):
-        while self.seen() < count:
+    async def wait_for_events(self, count):
+        while self.count_events() < count:
             await trio.sleep(0.005)
 
-    def running_at(self):
+    def running_endpoint(self):
         return next(e for e in self._world.endpoints if e.open_streams)
 
 
@@ -78,5 +78,5 @@
 
 async def wait_for_peers(world):
     for _, daemon in world.gateways.values():
-        while daemon._state.gateways < len(world.gateways):
+        while daemon._state.gateway_count < len(world.gateways):
             await trio.sleep(0.01)
--- a/src/piershore/agent/call_runner.py
+++ b/src/piershore/agent/call_runner.py
@@ -27,7 +27,7 @@
     RunKey,
 )
 from piershore.core.ownership.exceptions import InvalidKeyError
-from piershore.core.ownership.interval import HeldInterval
+from piershore.core.ownership.interval import SlotInterval
 from piershore.core.ownership.minted_key import MintedKey
 from piershore.core.ownership.slot_owner import SlotOwner
 from piershore.core.ports import ServiceClient
@@ -97,7 +97,7 @@
         return self._running == 0
 
     @property
-    def intervals(self) -> Iterable[HeldInterval]:
+    def intervals(self) -> Iterable[SlotInterval]:
         """Mint times whose non-repeatable keys this agent may run."""
         return self._owner.intervals()
 
@@ -108,7 +108,7 @@
             nursery.start_soon(self._keeper.run)
             while True:
                 await trio.sleep(FORGET_PERIOD_SECONDS)
-                self._owner.forget(int(time.time() * MILLISECONDS))
+                self._owner.drop_expired_claims(int(time.time() * MILLISECONDS))
 
     async def close(self) -> None:
         """Release the leases, if the platform lets, and close the connection."""
@@ -214,7 +214,7 @@
             for waiter in self._waiters.pop(key.text):
                 self._refuse(waiter, reason, Outcome.NOT_RUN)
         except CallUncertainError:
-            self._owner.abandon(key)
+            self._owner.mark_unknown(key)
             for waiter in self._waiters.pop(key.text):
                 self._refuse(waiter, RefusalReason.OUTCOME_UNKNOWN, Outcome.UNKNOWN)
         else:
--- a/src/piershore/agent/daemon.py
+++ b/src/piershore/agent/daemon.py
@@ -49,7 +49,7 @@
         self._settings = settings
         self._owner = Owner(name, uuid4().hex)
         self._config = ConfigView()
-        self._config.listen(lambda change: self._check_drain())
+        self._config.add_listener(lambda change: self._check_drain())
         self._links: dict[int, FrameQueue[AgentFrame]] = {}
         self._store = HttpPlatformStore(settings.platform_url)
         self._server = LinkServer(settings.listen, self)
--- a/src/piershore/agent/endpoint_work.py
+++ b/src/piershore/agent/endpoint_work.py
@@ -8,7 +8,7 @@
 
 from piershore.core.configuration.config_view import ConfigView
 from piershore.core.configuration.objects import Service, ServiceType
-from piershore.core.ownership.interval import HeldInterval, Owner
+from piershore.core.ownership.interval import Owner, SlotInterval
 from piershore.core.ports import PlatformStore
 from piershore.settings.process_settings import AgentSettings
 from piershore.wire.link_pb2 import AgentFrame, GatewayFrame
@@ -59,7 +59,7 @@
         """Whether nothing is left to finish."""
 
     @property
-    def intervals(self) -> Iterable[HeldInterval]:
+    def intervals(self) -> Iterable[SlotInterval]:
         """Mint times whose non-repeatable keys this agent may run."""
         return ()
 
--- a/src/piershore/agent/generation_runner.py
+++ b/src/piershore/agent/generation_runner.py
@@ -94,7 +94,7 @@
         """Whether nothing runs, waits, or has a reader who lacks tokens."""
         if self._queue.running_count or self._queue.queued_count:
             return False
-        return all(g.is_drained() for g in self._readers.generations)
+        return all(g.is_fully_sent() for g in self._readers.generations)
 
     async def run(self) -> None:
         """Admit, stream and clean up until cancelled."""
@@ -241,7 +241,7 @@
         self._scopes.pop(identity, None)
         generation.end(ending)
         self._ended_at[identity] = trio.current_time()
-        self._queue.finish(identity, whole=ending.reason is None)
+        self._queue.finish(identity, is_complete=ending.reason is None)
         self._readers.mark(identity)
         self._wake_poll.set()
         if ending.reason is not None:
@@ -251,7 +251,7 @@
     def _give_back(self, identity: str) -> None:
         """Refuse a generation that the engine has turned away before it began."""
         self._scopes.pop(identity, None)
-        self._queue.finish(identity, whole=False)
+        self._queue.finish(identity, is_complete=False)
         self._refuse_rested(identity)
         self._wake_poll.set()
 
@@ -274,7 +274,7 @@
         new = generation.append(tokens.first_index, tokens.tokens, now)
         if not new:
             return
-        self._queue.progress(generation.identity, new)
+        self._queue.record_progress(generation.identity, new)
         self._pace.count(new)
         metrics.TOKENS.inc(new)
         if is_first:
@@ -311,7 +311,7 @@
             self._forget(generation)
 
     def _forget(self, generation: Generation) -> None:
-        if generation.reader is not None and not generation.is_drained():
+        if generation.reader is not None and not generation.is_fully_sent():
             return
         self._readers.drop(generation.identity)
         self._ended_at.pop(generation.identity, None)
--- a/src/piershore/agent/lease_keeper.py
+++ b/src/piershore/agent/lease_keeper.py
@@ -143,7 +143,7 @@
 
     def _change(self, spec: Service, table: SlotTable) -> SlotTable:
         resized = table.resize(spec.slots, self._spec_version())
-        return self._owner.change(resized, self._now(), self._members())
+        return self._owner.update_leases(resized, self._now(), self._members())
 
     def _confirm(self, stored: StoredObject, era: int) -> None:
         if self._store.era != era:
--- a/src/piershore/agent/pace_probe.py
+++ b/src/piershore/agent/pace_probe.py
@@ -30,4 +30,4 @@
             self._identity = identity
         if self._identity == identity:
             tokens, self._new_tokens = self._new_tokens, 0
-            self._queue.step(tokens, self._queue.running_count, seconds, now)
+            self._queue.record_step(tokens, self._queue.running_count, seconds, now)
--- a/src/piershore/agent/refusals.py
+++ b/src/piershore/agent/refusals.py
@@ -6,10 +6,10 @@
 
 import trio
 
-from piershore.core.limits.endpoint_rate import EndpointRate
+from piershore.core.limits.endpoint_rate_limiter import EndpointRateLimiter
 from piershore.core.outcome import Outcome
 from piershore.core.refusal_reason import RefusalReason
-from piershore.core.routing.rest import Rest
+from piershore.core.routing.backoff import Backoff
 from piershore.telemetry import metrics
 from piershore.wire.link_pb2 import AgentFrame, Refused
 
@@ -22,8 +22,8 @@
 
     def __init__(self, send: Send) -> None:
         self._send = send
-        self._rest = Rest()
-        self._rate = EndpointRate()
+        self._rest = Backoff()
+        self._rate = EndpointRateLimiter()
 
     @property
     def seconds_to_rest(self) -> float:
@@ -32,7 +32,7 @@
 
     def note_rest(self, seconds: float) -> None:
         """Note that the endpoint wants nothing for some seconds."""
-        self._rest.note(seconds, trio.current_time())
+        self._rest.extend(seconds, trio.current_time())
 
     def record_rate(self, rate: float | None) -> None:
         """Take the rate that an answer of the endpoint names, if it names one."""
@@ -40,11 +40,11 @@
 
     def take_permit(self) -> bool:
         """Take a permit for one request, if the endpoint's rate allows it now."""
-        return self._rate.take(trio.current_time())
+        return self._rate.try_acquire(trio.current_time())
 
     def seconds_to_permit(self, waiting: int = 0) -> float:
         """Return when the rate allows one more request after some that wait."""
-        return self._rate.seconds_left(trio.current_time(), waiting)
+        return self._rate.seconds_until_available(trio.current_time(), waiting)
 
     def refuse(
         self,
--- a/src/piershore/agent/stream_sender.py
+++ b/src/piershore/agent/stream_sender.py
@@ -49,7 +49,7 @@
         present = [generation for generation in marked if generation is not None]
         self._send_tokens(present)
         for generation in present:
-            if generation.is_drained():
+            if generation.is_fully_sent():
                 self._send_end(generation)
 
     def _send_tokens(self, generations: list[Generation]) -> None:
--- a/src/piershore/boot_clock.py
+++ b/src/piershore/boot_clock.py
@@ -7,13 +7,13 @@
 
 import trio
 
-BOOT_TIME = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+BOOT_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 """The monotonic clock on systems without `CLOCK_BOOTTIME`."""
 
 
 def read_boot_time() -> float:
     """Return the seconds since the box was booted, including suspensions."""
-    return time.clock_gettime(BOOT_TIME)
+    return time.clock_gettime(BOOT_CLOCK_ID)
 
 
 class BootClock(trio.abc.Clock):
--- a/src/piershore/turns.py
+++ b/src/piershore/checkpoints.py
@@ -7,18 +7,18 @@
 
 import trio
 
-TURN_SECONDS = 0.002
+CHECKPOINT_INTERVAL_SECONDS = 0.002
 """Work between two checkpoints: requests of the gateway wait no longer for it. A whole
 configuration of 4,000 routes takes some 50 ms of CPU time."""
 
 Item = TypeVar("Item")
 
 
-async def in_turns(items: Iterable[Item]) -> AsyncIterator[Item]:
+async def with_checkpoints(items: Iterable[Item]) -> AsyncIterator[Item]:
     """Yield items that take time to create or use; run other tasks in between."""
-    turn_ends = trio.current_time() + TURN_SECONDS
+    turn_ends = trio.current_time() + CHECKPOINT_INTERVAL_SECONDS
     for item in items:
         yield item
         if trio.current_time() >= turn_ends:
             await trio.lowlevel.checkpoint()
-            turn_ends = trio.current_time() + TURN_SECONDS
+            turn_ends = trio.current_time() + CHECKPOINT_INTERVAL_SECONDS
--- a/src/piershore/core/admission/engine_queue.py
+++ b/src/piershore/core/admission/engine_queue.py
@@ -16,8 +16,8 @@
 from piershore.core.configuration.objects import AdmissionSettings
 from piershore.core.refusal_reason import RefusalReason
 
-SHORTEST_RETRY_SECONDS = 1.0
-LONGEST_RETRY_SECONDS = 300.0
+MIN_RETRY_SECONDS = 1.0
+MAX_RETRY_SECONDS = 300.0
 RATE_WINDOW_SECONDS = 10.0
 NO_DEADLINE = float("inf")
 
@@ -82,18 +82,18 @@
         self._queue.add(entry)
         self._queued[candidate.identity] = entry
 
-    def progress(self, identity: str, tokens: int) -> None:
+    def record_progress(self, identity: str, tokens: int) -> None:
         """Record that a generation has produced `tokens` more tokens."""
         generation = self._running.get(identity)
         if generation is not None:
             generation.generated += tokens
 
-    def step(self, tokens: int, batch: int, seconds: float, now: float) -> None:
+    def record_step(self, tokens: int, batch: int, seconds: float, now: float) -> None:
         """Record one step of the engine: its tokens, batch size and duration."""
         self._pace.record(batch, seconds)
-        self.note_rate(tokens, now)
+        self.record_tokens(tokens, now)
 
-    def note_rate(self, tokens: int, now: float) -> None:
+    def record_tokens(self, tokens: int, now: float) -> None:
         """Record that the engine has generated `tokens` since the last call."""
         if self._rate_at is None:
             self._rate_at = now
@@ -105,10 +105,10 @@
         self._token_rate = keep * self._token_rate + (1 - keep) * tokens / elapsed
         self._rate_at = now
 
-    def finish(self, identity: str, *, whole: bool) -> None:
+    def finish(self, identity: str, *, is_complete: bool) -> None:
         """Remove a generation that ended; learn its length if it is complete."""
         generation = self._running.pop(identity, None)
-        if generation is not None and whole:
+        if generation is not None and is_complete:
             key = generation.candidate.length_key
             self._lengths.record(key, generation.generated)
 
@@ -150,14 +150,14 @@
         The result is bounded to a sensible time for a retry.
         """
         if self._token_rate <= 0:
-            return SHORTEST_RETRY_SECONDS
+            return MIN_RETRY_SECONDS
         ahead = sum(
             self._expected_tokens(entry[1])
             for entry in self._queue
             if entry[1].priority >= candidate.priority
         )
         wait = ahead / self._token_rate
-        return min(LONGEST_RETRY_SECONDS, max(SHORTEST_RETRY_SECONDS, wait))
+        return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
 
     def _hopeless(self, now: float) -> Iterator[Refuse]:
         ahead = 0.0
@@ -171,12 +171,12 @@
                     if passed
                     else RefusalReason.DEADLINE_UNREACHABLE
                 )
-                yield Refuse(candidate, reason, max(SHORTEST_RETRY_SECONDS, wait))
+                yield Refuse(candidate, reason, max(MIN_RETRY_SECONDS, wait))
                 continue
             ahead += self._expected_tokens(candidate)
 
     def _expected_tokens(self, candidate: Candidate) -> float:
-        return self._lengths.expected_further(
+        return self._lengths.expected_remaining(
             candidate.length_key, 0, candidate.max_tokens
         )
 
--- a/src/piershore/core/admission/length_histogram.py
+++ b/src/piershore/core/admission/length_histogram.py
@@ -6,9 +6,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-LONGEST_TOKENS = 131_072
+MAX_TOKENS = 131_072
 SIGNIFICANT_DIGITS = 1
-ROTATE_AFTER = 512
+ROTATE_AFTER_SAMPLES = 512
 REBUILD_SHARE = 0.05
 
 
@@ -41,10 +41,10 @@
 
     def record(self, length: int) -> None:
         """Add the length of a finished generation, in tokens."""
-        if self._newer_count >= ROTATE_AFTER:
+        if self._newer_count >= ROTATE_AFTER_SAMPLES:
             self._older, self._newer = self._newer, self._empty()
             self._newer_count = 0
-        self._newer.record_value(max(1, min(length, LONGEST_TOKENS)))
+        self._newer.record_value(max(1, min(length, MAX_TOKENS)))
         self._newer_count += 1
         self._recorded += 1
         older = self._older.get_total_count() if self._older else 0
@@ -76,4 +76,4 @@
 
     @staticmethod
     def _empty() -> HdrHistogram:
-        return HdrHistogram(1, LONGEST_TOKENS, SIGNIFICANT_DIGITS)
+        return HdrHistogram(1, MAX_TOKENS, SIGNIFICANT_DIGITS)
--- a/src/piershore/core/admission/length_model.py
+++ b/src/piershore/core/admission/length_model.py
@@ -11,8 +11,8 @@
 
 ENOUGH_SAMPLES = 64
 PRIOR_SAMPLES = 6.0
-NEGLIGIBLE = 1e-6
-KEYS_KEPT = 512
+NEGLIGIBLE_PROBABILITY = 1e-6
+MAX_KEYS = 512
 MEAN_STEPS = (0, *(int(8 * 1.3**n) for n in range(40)))
 """Steps in tokens, up to about 200,000, over which survival is summed for the mean."""
 
@@ -34,14 +34,14 @@
 
     def record(self, key: LengthKey, length: int) -> None:
         """Add the length of a finished generation, in tokens."""
-        if key not in self._by_key and len(self._by_key) >= KEYS_KEPT:
+        if key not in self._by_key and len(self._by_key) >= MAX_KEYS:
             self._by_key.popitem(last=False)
         self._by_key.setdefault(key, LengthHistogram()).record(length)
         self._by_key.move_to_end(key)
         self._by_kind.setdefault(key.kind, LengthHistogram()).record(length)
         self._service.record(length)
 
-    def survivals(
+    def survival_probabilities(
         self, key: LengthKey, generated: int, steps: Sequence[int], max_tokens: int
     ) -> Iterator[float]:
         """Yield the probability of more than each of `steps` further tokens.
@@ -54,16 +54,16 @@
             reached = generated + further
             if reached >= max_tokens:
                 return
-            if given > NEGLIGIBLE:
+            if given > NEGLIGIBLE_PROBABILITY:
                 chance = self._blended(chain, reached, max_tokens) / given
             else:
                 # Longer than all samples: only the maximum is known.
                 chance = 1 - further / (max_tokens - generated)
-            if chance <= NEGLIGIBLE:
+            if chance <= NEGLIGIBLE_PROBABILITY:
                 return
             yield chance
 
-    def expected_further(
+    def expected_remaining(
         self, key: LengthKey, generated: int, max_tokens: int
     ) -> float:
         """Return the mean number of remaining tokens."""
@@ -76,7 +76,9 @@
         return self._expected[place]
 
     def _sum_survivals(self, key: LengthKey, generated: int, max_tokens: int) -> float:
-        chances = list(self.survivals(key, generated, MEAN_STEPS, max_tokens))
+        chances = list(
+            self.survival_probabilities(key, generated, MEAN_STEPS, max_tokens)
+        )
         total = 0.0
         for number, chance in enumerate(chances):
             end = min(MEAN_STEPS[number + 1], max_tokens - generated)
--- a/src/piershore/core/admission/pace_model.py
+++ b/src/piershore/core/admission/pace_model.py
@@ -4,7 +4,7 @@
 
 DECAY = 0.995
 ENOUGH_WEIGHT = 20.0
-SMALLEST_CAP = 4
+MIN_BATCH_CAP = 4
 
 
 class PaceModel:
@@ -39,11 +39,11 @@
         base = (self._sum_y - slope * self._sum_x) / self._weight
         if slope <= 0:
             return None
-        return max(SMALLEST_CAP, int((token_pace - base) / slope))
+        return max(MIN_BATCH_CAP, int((token_pace - base) / slope))
 
     def _proportional_cap(self, token_pace: float) -> int | None:
         seconds = self._sum_y / self._weight
         if seconds <= token_pace:
             return None
         batch = self._sum_x / self._weight
-        return max(SMALLEST_CAP, int(batch * token_pace / seconds))
+        return max(MIN_BATCH_CAP, int(batch * token_pace / seconds))
--- a/src/piershore/core/admission/projected_demand.py
+++ b/src/piershore/core/admission/projected_demand.py
@@ -64,7 +64,7 @@
     def add(self, candidate: Candidate, generated: int) -> None:
         """Add one generation that has `generated` tokens so far."""
         held = candidate.prompt_tokens + generated
-        chances = self._model.survivals(
+        chances = self._model.survival_probabilities(
             candidate.length_key, generated, HORIZON_STEPS, candidate.max_tokens
         )
         for place, chance in enumerate(chances):
--- a/src/piershore/core/attempts/attempt_outcome.py
+++ b/src/piershore/core/attempts/attempt_outcome.py
@@ -18,7 +18,7 @@
 """Statuses that tell a caller that the request has not run. From an endpoint such a
 status alone proves nothing: it must also say so explicitly."""
 
-MOST_PROVEN_UNRUN = 3
+MAX_UNRUN_REFUSALS = 3
 """Endpoints that may refuse a request without running it before its caller is told to
 retry later."""
 
@@ -47,10 +47,10 @@
     @property
     def proves_not_run(self) -> bool:
         """Whether the request has certainly not been executed."""
-        return self in PROOFS_OF_NO_RUN
+        return self in NOT_RUN_OUTCOMES
 
 
-PROOFS_OF_NO_RUN = frozenset(
+NOT_RUN_OUTCOMES = frozenset(
     {
         AttemptOutcome.NOT_SENT,
         AttemptOutcome.REJECTED,
@@ -61,7 +61,7 @@
 )
 
 
-def may_try_again(kind: RequestKind, outcome: AttemptOutcome) -> bool:
+def may_retry(kind: RequestKind, outcome: AttemptOutcome) -> bool:
     """Return whether the request may be sent to another endpoint afterwards."""
     if outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.HELD):
         return False
--- a/src/piershore/core/attempts/leaving.py
+++ b/src/piershore/core/attempts/leaving.py
@@ -11,19 +11,19 @@
 FIRST_EVENT_SECONDS = 1.5
 """Time to the first event of a generation: the longest target of the users' routes."""
 
-START_SECONDS = 1.2
+RESTART_SECONDS = 1.2
 """From the end of a gateway's process until its next process serves; 1.1 to 1.2 s were
 observed on boxes with 0.8 of a core."""
-AT_ONCE_SECONDS = 0.02
+IMMEDIATE_RETRY_SECONDS = 0.02
 """When to retry after a refusal by a stopping gateway, if other gateways stay."""
 
-STILL_SENT_SECONDS = 2.4
+ROUTING_LAG_SECONDS = 2.4
 """How long the platform still routes callers here after the stop: it checks once a
 second and removes a box after two missed checks. A request that is refused in this time
 may be routed to a stopping gateway again."""
 
 
-def takes_while_leaving(
+def accepts_while_leaving(
     timeout: float,
     size: GenerationSize | None,
     seconds_leaving: float,
@@ -35,7 +35,7 @@
     sure to end before the process must: within the route's `timeout`, in seconds, or
     within the time in which a generation makes its maximum number of tokens.
     """
-    if seconds_leaving <= STILL_SENT_SECONDS:
+    if seconds_leaving <= ROUTING_LAG_SECONDS:
         return True
     if size is None:
         return timeout <= seconds_left
@@ -43,7 +43,7 @@
     return min(most, timeout) <= seconds_left
 
 
-def come_back_seconds(
+def retry_after_seconds(
     leaving_since: Iterable[float], grace: float, now: float, *, others_stay: bool
 ) -> float:
     """Return the seconds after which a refused caller finds a gateway that stays.
@@ -53,6 +53,6 @@
     immediately would be refused again, and most callers try only twice.
     """
     if others_stay:
-        return AT_ONCE_SECONDS
-    first_back = min(leaving_since, default=now) + grace + START_SECONDS
-    return max(AT_ONCE_SECONDS, first_back - now)
+        return IMMEDIATE_RETRY_SECONDS
+    first_back = min(leaving_since, default=now) + grace + RESTART_SECONDS
+    return max(IMMEDIATE_RETRY_SECONDS, first_back - now)
--- a/src/piershore/core/attempts/retry_allowance.py
+++ b/src/piershore/core/attempts/retry_budget.py
@@ -20,7 +20,7 @@
     safety: float = 0.6
 
 
-class RetryAllowance:
+class RetryBudget:
     """Counts the requests and retries of one service within a window."""
 
     def __init__(self, limits: RetryLimits) -> None:
@@ -28,19 +28,19 @@
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count the first attempt of a request."""
         self._requests.append(now)
         self._forget(now)
 
     def spend(self, now: float, gateways: int) -> bool:
         """Use one retry if one remains; `gateways` share the slack."""
-        if self.left(now, gateways) < 1:
+        if self.remaining(now, gateways) < 1:
             return False
         self._retries.append(now)
         return True
 
-    def left(self, now: float, gateways: int) -> float:
+    def remaining(self, now: float, gateways: int) -> float:
         """Return how many retries remain in the current window."""
         self._forget(now)
         return max(0.0, self.allowed(gateways) - len(self._retries))
--- a/src/piershore/core/remembering.py
+++ b/src/piershore/core/bounded_mapping.py
@@ -7,9 +7,9 @@
 Kept = TypeVar("Kept")
 
 
-def remember(kept: dict[str, Kept], key: str, value: Kept, most: int) -> None:
+def put_newest(kept: dict[str, Kept], key: str, value: Kept, max_entries: int) -> None:
     """Store an entry as the newest and evict the oldest beyond the upper bound."""
     kept.pop(key, None)
     kept[key] = value
-    while len(kept) > most:
+    while len(kept) > max_entries:
         del kept[next(iter(kept))]
--- a/src/piershore/core/configuration/config_view.py
+++ b/src/piershore/core/configuration/config_view.py
@@ -21,7 +21,7 @@
 )
 from piershore.core.fleet.store_revision import era_of
 
-CHANGES_KEPT = 1_024
+MAX_KEPT_CHANGES = 1_024
 
 
 class ConfigView:
@@ -71,7 +71,7 @@
         """Record that the store has the version in force here."""
         self._unconfirmed.discard(name)
 
-    def listen(self, listener: Callable[[StoredObject], None]) -> None:
+    def add_listener(self, listener: Callable[[StoredObject], None]) -> None:
         """Call `listener` after each applied change."""
         self._listeners.append(listener)
 
@@ -113,7 +113,7 @@
         if era > era_of(self._complete_to):
             for name in self._recent.names:
                 if self._objects[name].version <= self._complete_to:
-                    self._recent.note_seen(name, era)
+                    self._recent.mark_confirmed(name, era)
         self._complete_up_to(revision)
 
     def apply_snapshot(self, snapshot: Snapshot) -> bool:
@@ -123,7 +123,7 @@
         for stored in snapshot.objects:
             self.apply(stored)
             if _is_same(self._objects[stored.name], stored):
-                self._recent.note_seen(stored.name, era_of(snapshot.revision))
+                self._recent.mark_confirmed(stored.name, era_of(snapshot.revision))
         for name in list(self._deleted(snapshot)):
             self.apply(StoredObject(name, snapshot.revision, None))
         self._unconfirmed.update(self._shown_otherwise(snapshot))
@@ -184,7 +184,7 @@
         if change.version > self._complete_to:
             self._applied_beyond.add(change.version)
         self._changes.append(change)
-        while len(self._changes) > CHANGES_KEPT:
+        while len(self._changes) > MAX_KEPT_CHANGES:
             dropped = self._changes.popleft()
             self._changes_from = max(self._changes_from, dropped.version)
 
--- a/src/piershore/core/configuration/recent_changes.py
+++ b/src/piershore/core/configuration/recent_changes.py
@@ -10,7 +10,7 @@
 RECENT_SECONDS = 300.0
 """Longer than the age of a copy plus the outage until the store is restored from it.
 Earlier changes are in the copy, so an object that the store lacks was deleted."""
-MOST_CHANGES = 4_096
+MAX_CHANGES = 4_096
 """A day's changes, some 50 KB."""
 
 
@@ -19,7 +19,7 @@
     """When an object changed, and the last era in which the store had the change."""
 
     changed_at: float
-    seen_in_era: int
+    confirmed_in_era: int
 
 
 class RecentChanges:
@@ -33,14 +33,14 @@
         """All names, the oldest change first."""
         return tuple(self._changes)
 
-    def note(self, name: ObjectName, era: int, now: float) -> None:
+    def record(self, name: ObjectName, era: int, now: float) -> None:
         """Record a change that the store had in `era`."""
         self._changes[name] = RecentChange(now, era)
         self._changes.move_to_end(name)
-        while len(self._changes) > MOST_CHANGES:
+        while len(self._changes) > MAX_CHANGES:
             self._changes.popitem(last=False)
 
-    def note_seen(self, name: ObjectName, era: int) -> None:
+    def mark_confirmed(self, name: ObjectName, era: int) -> None:
         """Record that the store still has the change in a later era."""
         change = self._changes.get(name)
         if change is not None:
@@ -49,9 +49,9 @@
     def may_be_lost(self, name: ObjectName, era: int) -> bool:
         """Return whether a store restored in `era` may have lost an object's change."""
         change = self._changes.get(name)
-        return change is not None and change.seen_in_era < era
+        return change is not None and change.confirmed_in_era < era
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop the changes that are older than `RECENT_SECONDS`."""
         while self._changes:
             oldest = next(iter(self._changes.values()))
--- a/src/piershore/core/configuration/relays.py
+++ b/src/piershore/core/configuration/relays.py
@@ -6,7 +6,7 @@
 
 from piershore.core.hashing import stable_hash
 
-RELAYS_PER_HALL = 2
+RELAYS_PER_DATA_HALL = 2
 
 
 def rendezvous_order(key: str, members: Iterable[str]) -> list[str]:
@@ -24,4 +24,4 @@
     """
     order = rendezvous_order(f"relay/{data_hall}", gateways)
     order.sort(key=lambda gateway: gateway not in preferred)
-    return order[:RELAYS_PER_HALL]
+    return order[:RELAYS_PER_DATA_HALL]
--- a/src/piershore/core/documents/parts_reply.py
+++ b/src/piershore/core/documents/chunks_reply.py
@@ -8,13 +8,13 @@
 
 import orjson
 
+from piershore.core.documents.chunks_request import ChunksRequest
 from piershore.core.documents.compression import compress, decompress
-from piershore.core.documents.document import Document, DocumentPart
-from piershore.core.documents.exceptions import InvalidPartsError
-from piershore.core.documents.parts_request import PartsRequest
+from piershore.core.documents.document import Document, DocumentChunk
+from piershore.core.documents.exceptions import InvalidChunksError
 from piershore.core.fleet.store_revision import StoreRevision
 
-REPLY_BYTES = 131_072
+TARGET_REPLY_BYTES = 131_072
 """Size of the chunks in one reply before compression, some 15 KB of routes after it:
 0.03 s on a link of 5 Mbit/s. A broken connection loses no more than that."""
 LINE_END = b"\n"
@@ -22,15 +22,15 @@
 
 
 @dataclass(frozen=True)
-class PartsReply:
+class ChunksReply:
     """The digests of the whole document, and the first chunks that the reader lacks."""
 
     revision: StoreRevision
     digests: tuple[str, ...]
-    parts: tuple[DocumentPart, ...]
+    chunks: tuple[DocumentChunk, ...]
 
     @classmethod
-    def of(cls, document: Document, request: PartsRequest) -> PartsReply:
+    def of(cls, document: Document, request: ChunksRequest) -> ChunksReply:
         """Return the reply to a request, one message of bounded size."""
         parts = tuple(_first_missing(document, request))
         return cls(document.revision, document.digests, parts)
@@ -38,10 +38,10 @@
     def encode(self) -> bytes:
         """Return the encoded message."""
         head = orjson.dumps([self.revision, self.digests])
-        return compress(LINE_END.join([head, *(part.data for part in self.parts)]))
+        return compress(LINE_END.join([head, *(part.data for part in self.chunks)]))
 
     @classmethod
-    def decode(cls, data: bytes) -> PartsReply:
+    def decode(cls, data: bytes) -> ChunksReply:
         """Decode a message; raise `InvalidChunksError` if it isn't a reply."""
         try:
             head, *lines = decompress(data).split(LINE_END)
@@ -49,18 +49,20 @@
             return cls(
                 StoreRevision(revision),
                 tuple(map(str, digests)),
-                tuple(map(DocumentPart.of, lines)),
+                tuple(map(DocumentChunk.of, lines)),
             )
         except (ValueError, TypeError, zlib.error) as error:
-            raise InvalidPartsError(f"not a reply with chunks: {error!r}") from error
+            raise InvalidChunksError(f"not a reply with chunks: {error!r}") from error
 
 
-def _first_missing(document: Document, request: PartsRequest) -> Iterator[DocumentPart]:
+def _first_missing(
+    document: Document, request: ChunksRequest
+) -> Iterator[DocumentChunk]:
     size = 0
-    for part in document.parts:
+    for part in document.chunks:
         if part.digest in request.known:
             continue
         size += len(part.data)
         yield part
-        if size >= REPLY_BYTES:
+        if size >= TARGET_REPLY_BYTES:
             return
--- a/src/piershore/core/documents/parts_request.py
+++ b/src/piershore/core/documents/chunks_request.py
@@ -8,11 +8,11 @@
 import orjson
 
 from piershore.core.documents.compression import compress, decompress
-from piershore.core.documents.exceptions import InvalidPartsError
+from piershore.core.documents.exceptions import InvalidChunksError
 
 
 @dataclass(frozen=True)
-class PartsRequest:
+class ChunksRequest:
     """The digests of the chunks that the reader already has."""
 
     known: frozenset[str]
@@ -22,9 +22,9 @@
         return compress(orjson.dumps(sorted(self.known)))
 
     @classmethod
-    def decode(cls, data: bytes) -> PartsRequest:
+    def decode(cls, data: bytes) -> ChunksRequest:
         """Decode a message; raise `InvalidChunksError` if it isn't a request."""
         try:
             return cls(frozenset(map(str, orjson.loads(decompress(data)))))
         except (ValueError, TypeError, zlib.error) as error:
-            raise InvalidPartsError(f"not a request for chunks: {error!r}") from error
+            raise InvalidChunksError(f"not a request for chunks: {error!r}") from error
--- a/src/piershore/core/documents/document.py
+++ b/src/piershore/core/documents/document.py
@@ -11,14 +11,14 @@
 
 
 @dataclass(frozen=True)
-class DocumentPart:
+class DocumentChunk:
     """Some entries of a document as JSON; equal chunks have the same digest."""
 
     digest: str
     data: bytes
 
     @classmethod
-    def of(cls, data: bytes) -> DocumentPart:
+    def of(cls, data: bytes) -> DocumentChunk:
         """Return the chunk that contains `data`."""
         return cls(xxh3_64_hexdigest(data), data)
 
@@ -28,14 +28,14 @@
     """A whole document as of a revision of the platform's store."""
 
     revision: StoreRevision
-    parts: tuple[DocumentPart, ...]
+    chunks: tuple[DocumentChunk, ...]
 
     @cached_property
-    def by_digest(self) -> dict[str, DocumentPart]:
+    def by_digest(self) -> dict[str, DocumentChunk]:
         """The chunks by their digest."""
-        return {part.digest: part for part in self.parts}
+        return {part.digest: part for part in self.chunks}
 
     @property
     def digests(self) -> tuple[str, ...]:
         """The digests of all chunks, in order."""
-        return tuple(part.digest for part in self.parts)
+        return tuple(part.digest for part in self.chunks)
--- a/src/piershore/core/documents/document_assembly.py
+++ b/src/piershore/core/documents/document_assembler.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from piershore.core.documents.document import Document, DocumentPart
-from piershore.core.documents.parts_reply import PartsReply
-from piershore.core.documents.parts_request import PartsRequest
+from piershore.core.documents.chunks_reply import ChunksReply
+from piershore.core.documents.chunks_request import ChunksRequest
+from piershore.core.documents.document import Document, DocumentChunk
 
 
-class DocumentAssembly:
+class DocumentAssembler:
     """Collects the chunks of a newer version from any number of peers.
 
     `own` is the version that the gateway has; its chunks aren't requested. Received
@@ -16,17 +16,19 @@
     """
 
     def __init__(self) -> None:
-        self._received: dict[str, DocumentPart] = {}
+        self._received: dict[str, DocumentChunk] = {}
 
-    def request(self, own: Document | None) -> PartsRequest:
+    def request(self, own: Document | None) -> ChunksRequest:
         """Return the request to send to a peer."""
         known = own.by_digest if own is not None else {}
-        return PartsRequest(frozenset((*known, *self._received)))
+        return ChunksRequest(frozenset((*known, *self._received)))
 
-    def take(self, reply: PartsReply, own: Document | None) -> Document | None:
+    def receive_reply(
+        self, reply: ChunksReply, own: Document | None
+    ) -> Document | None:
         """Add the chunks of a peer's reply; return the document once it is complete."""
         known = {**(own.by_digest if own is not None else {}), **self._received}
-        known.update((part.digest, part) for part in reply.parts)
+        known.update((part.digest, part) for part in reply.chunks)
         if all(digest in known for digest in reply.digests):
             self._received = {}
             parts = tuple(known[digest] for digest in reply.digests)
--- a/src/piershore/core/documents/splitting.py
+++ b/src/piershore/core/documents/splitting.py
@@ -7,15 +7,15 @@
 
 import orjson
 
-from piershore.core.documents.document import DocumentPart
+from piershore.core.documents.document import DocumentChunk
 
-ENTRIES_A_PART = 16
+MEAN_ENTRIES_PER_CHUNK = 16
 """Mean number of list entries in one chunk: 4 KB of routes. A digest then has 1 in 200
 of its chunk's bytes, and a change of one entry sends some 4 KB again."""
-MOST_ENTRIES = 8 * ENTRIES_A_PART
+MAX_ENTRIES_PER_CHUNK = 8 * MEAN_ENTRIES_PER_CHUNK
 
 
-def split(fields: Mapping[str, object]) -> Iterator[DocumentPart]:
+def split(fields: Mapping[str, object]) -> Iterator[DocumentChunk]:
     """Yield the chunks of a document; only lists are split into several chunks.
 
     A list is split by the contents of its entries and not by their positions, so an
@@ -23,14 +23,14 @@
     """
     for name, value in fields.items():
         if not isinstance(value, list):
-            yield DocumentPart.of(orjson.dumps({name: value}))
+            yield DocumentChunk.of(orjson.dumps({name: value}))
             continue
         start = b"{%b:[" % orjson.dumps(name)
         for group in _groups(value):
-            yield DocumentPart.of(start + b",".join(group) + b"]}")
+            yield DocumentChunk.of(start + b",".join(group) + b"]}")
 
 
-def join(parts: Iterable[DocumentPart]) -> dict[str, object]:
+def join(parts: Iterable[DocumentChunk]) -> dict[str, object]:
     """Return the fields of a document; raise ValueError if a chunk is not JSON."""
     fields: dict[str, object] = {}
     for part in parts:
@@ -48,8 +48,8 @@
     for entry in entries:
         data = orjson.dumps(entry)
         group.append(data)
-        is_last = crc32(data) % ENTRIES_A_PART == 0
-        if is_last or len(group) == MOST_ENTRIES:
+        is_last = crc32(data) % MEAN_ENTRIES_PER_CHUNK == 0
+        if is_last or len(group) == MAX_ENTRIES_PER_CHUNK:
             yield group
             group = []
     if group or not entries:
--- a/src/piershore/core/fleet/backup_choice.py
+++ b/src/piershore/core/fleet/backup_policy.py
@@ -15,16 +15,16 @@
 from piershore.core.fleet.generation_work import GenerationWork
 from piershore.core.routes.service_spec import EngineSpec
 
-EVACUATION_SECONDS = 1.0
+MAX_EVACUATION_SECONDS = 1.0
 """Time for copies from one endpoint that fits into a short notice."""
-ROOM_SHARE = 0.7
+MAX_SHARE_FOR_NOTICE = 0.7
 """Share of a target's memory that may be projected, with the backup, if the generation
 could not be moved within a notice."""
-PLENTY_SHARE = 0.4
+MAX_SHARE_FOR_CRASH = 0.4
 """The same for a backup that is only needed after a crash."""
 
 
-def backup_room(
+def backup_memory_limit(
     source_load: EndpointLoad, work: GenerationWork, engine: EngineSpec
 ) -> float | None:
     """Return the share of a target's memory that may be projected with the backup.
@@ -36,14 +36,14 @@
     if not engine.can_back_up or not work.is_long:
         return None
     tokens = source_load.held_tokens + work.held_tokens
-    if engine.copy_seconds(tokens, within_hall=True) > EVACUATION_SECONDS:
-        return ROOM_SHARE
-    if engine.copy_seconds(tokens, within_hall=False) > EVACUATION_SECONDS:
-        return PLENTY_SHARE
+    if engine.copy_seconds(tokens, within_data_hall=True) > MAX_EVACUATION_SECONDS:
+        return MAX_SHARE_FOR_NOTICE
+    if engine.copy_seconds(tokens, within_data_hall=False) > MAX_EVACUATION_SECONDS:
+        return MAX_SHARE_FOR_CRASH
     return None
 
 
-def has_room(
+def fits_backup(
     load: EndpointLoad, work: GenerationWork, engine: EngineSpec, share: float
 ) -> bool:
     """Return whether an endpoint has memory for the backup of a generation."""
--- a/src/piershore/core/fleet/cold_starts.py
+++ b/src/piershore/core/fleet/cold_starts.py
@@ -21,11 +21,11 @@
 
 WINDOW_SECONDS = 1.0
 """The configured rate of a cold endpoint applies to any span of this length."""
-TRANSIT_SECONDS = 0.1
+TRANSIT_JITTER_SECONDS = 0.1
 """How much the transit times of requests may differ."""
-COUNTED_SECONDS = WINDOW_SECONDS + TRANSIT_SECONDS
+COUNTED_SECONDS = WINDOW_SECONDS + TRANSIT_JITTER_SECONDS
 """Requests sent within this time may arrive within one window."""
-MOST_TOLD = 32
+MAX_REPORTED_ENDPOINTS = 32
 """Cold endpoints in one report, so that it fits a packet."""
 
 
@@ -39,13 +39,13 @@
         self._seen: dict[str, float] = {}
         self._sent = SentRequests()
 
-    def note_entry(self, endpoint: Endpoint, now: float) -> None:
+    def record_entry(self, endpoint: Endpoint, now: float) -> None:
         """Record whether an endpoint is cold, as its own entry says."""
         if endpoint.cold_seconds > 0:
             self._seen[endpoint.identity] = now + endpoint.cold_seconds
             self._note(endpoint.identity, endpoint.cold_seconds, now)
 
-    def note_started(self, endpoint: Endpoint, now: float) -> None:
+    def record_start(self, endpoint: Endpoint, now: float) -> None:
         """Record a new endpoint as cold, since a peer's list doesn't say whether it is.
 
         It counts as cold for the time that its service configures.
@@ -54,7 +54,7 @@
         if spec is not None and spec.cold_start_seconds > 0:
             self._note(endpoint.identity, spec.cold_start_seconds, now)
 
-    def take_report(self, told: Mapping[str, float], now: float) -> None:
+    def apply_report(self, told: Mapping[str, float], now: float) -> None:
         """Record a peer's cold endpoints, with the seconds until they are warm."""
         for identity, seconds in told.items():
             self._note(identity, seconds, now)
@@ -65,7 +65,9 @@
         Reports of peers aren't passed on: the time would grow a little with each hop.
         """
         self._forget(now)
-        newest = sorted(self._seen, key=self._seen.get, reverse=True)[:MOST_TOLD]
+        newest = sorted(self._seen, key=self._seen.get, reverse=True)[
+            :MAX_REPORTED_ENDPOINTS
+        ]
         return {identity: self._seen[identity] - now for identity in newest}
 
     def is_cold(self, identity: str, now: float) -> bool:
@@ -82,14 +84,14 @@
         lately = self._sent.count(endpoint.identity, now - COUNTED_SECONDS)
         return lately < self._part(endpoint, spec)
 
-    def note_sent(self, endpoint: Endpoint, now: float) -> None:
+    def record_sent(self, endpoint: Endpoint, now: float) -> None:
         """Count a request to an endpoint if that is cold."""
         if self.is_cold(endpoint.identity, now):
             self._sent.record(endpoint.identity, now, COUNTED_SECONDS)
 
     def _part(self, endpoint: Endpoint, spec: ServiceSpec) -> int:
         share = self._shares.of(endpoint)
-        return share.part(max(1, int(spec.cold_rate))) if share else 0
+        return share.quota(max(1, int(spec.cold_rate))) if share else 0
 
     def _spec(self, endpoint: Endpoint) -> ServiceSpec | None:
         return self._configuration.service(endpoint.service)
--- a/src/piershore/core/fleet/hall_stalls.py
+++ b/src/piershore/core/fleet/data_hall_stalls.py
@@ -9,11 +9,11 @@
 
 from __future__ import annotations
 
-STALL_SECONDS = 0.18
+MIN_STALL_SECONDS = 0.18
 """Shortest pause that counts as a stall: a lost packet is sent again after 0.2 s, while
 prompts that the engine reads between two tokens delay 95 of 100 streams by less than
 0.1 s."""
-PART_WEIGHT = 0.02
+CHUNK_WEIGHT = 0.02
 """Weight of the newest chunk in the moving average: some 50 chunks count, which is half
 a second of a gateway's streams."""
 STALL_COST = 10.0
@@ -21,17 +21,17 @@
 third of its memory in use."""
 
 
-class HallStalls:
+class DataHallStalls:
     """Moving averages of the share of stalled chunks, by data hall."""
 
     def __init__(self) -> None:
         self._shares: dict[str, float] = {}
 
-    def note_part(self, data_hall: str, gap: float) -> None:
+    def record_chunk(self, data_hall: str, gap: float) -> None:
         """Record a chunk of a stream that came `gap` seconds after the last one."""
         share = self._shares.get(data_hall, 0.0)
-        stalled = float(gap >= STALL_SECONDS)
-        self._shares[data_hall] = share + PART_WEIGHT * (stalled - share)
+        stalled = float(gap >= MIN_STALL_SECONDS)
+        self._shares[data_hall] = share + CHUNK_WEIGHT * (stalled - share)
 
     def cost(self, data_hall: str) -> float:
         """Return the placement cost of the data hall's stalls."""
--- a/src/piershore/core/fleet/endpoint_directory.py
+++ b/src/piershore/core/fleet/endpoint_directory.py
@@ -5,24 +5,24 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, replace
 
+from piershore.core.bounded_mapping import put_newest
 from piershore.core.fleet.endpoint import Endpoint, EndpointStage
 from piershore.core.fleet.store_revision import StoreRevision
 from piershore.core.hashing import stable_hash
-from piershore.core.remembering import remember
 
-LAPSE_SECONDS = 1.7
+EXPIRY_GRACE_SECONDS = 1.7
 """How long an entry is kept that may only have expired during an outage of the store.
 Such an entry is back some 2 s after the outage. An endpoint that was really removed
 must get no new work 2 s after its removal, and the directory is swept four times a
 second."""
 
-HELD_BACK_SECONDS = 5.0
+DEFERRAL_SECONDS = 5.0
 """How long a removed entry is deferred that appears again since the store was restored
 from an older copy. Unless the endpoint writes it again, the entry expires after three
 of its heartbeats, 3.6 s. The endpoint may still be serving, but must get no new work
 until then."""
 
-DEPARTED_KEPT = 512
+MAX_REMEMBERED_IDENTITIES = 512
 """How many identities are remembered as leaving, which are never used again, how many
 as removed, and for how many names the newest incarnation is remembered."""
 
@@ -84,7 +84,7 @@
         return self._fingerprint
 
     @property
-    def selection(self) -> tuple[int, frozenset[str]]:
+    def placeable_version(self) -> tuple[int, frozenset[str]]:
         """A value that changes whenever the endpoints that take new work may have."""
         return self.fingerprint, self._drained
 
@@ -194,7 +194,7 @@
             return departures
         if endpoint.identity in self._leaving:
             return departures
-        remember(self._leaving, endpoint.identity, None, DEPARTED_KEPT)
+        put_newest(self._leaving, endpoint.identity, None, MAX_REMEMBERED_IDENTITIES)
         if previous:
             departures.append(Departure(endpoint, is_gone=False))
         return departures
@@ -211,7 +211,7 @@
         if endpoint is None:
             return []
         if after_outage and endpoint.stage is EndpointStage.READY:
-            self._doubtful.setdefault(identity, now + LAPSE_SECONDS)
+            self._doubtful.setdefault(identity, now + EXPIRY_GRACE_SECONDS)
             return []
         return self._drop(identity)
 
@@ -228,11 +228,11 @@
             return []
         if endpoint is None:
             # Its entry may still be added, or added again, as ready.
-            remember(self._leaving, identity, None, DEPARTED_KEPT)
+            put_newest(self._leaving, identity, None, MAX_REMEMBERED_IDENTITIES)
             return []
         return self.put(replace(endpoint, stage=EndpointStage.LEAVING))
 
-    def drop_lapsed(self, now: float) -> list[Departure]:
+    def drop_expired(self, now: float) -> list[Departure]:
         """Drop the possibly expired entries that did not return after an outage.
 
         Deferred entries that are still listed when their time is over are used from
@@ -249,7 +249,7 @@
         for endpoint in listed:
             identity = endpoint.identity
             if identity in self._gone and identity not in self._endpoints:
-                self._held_back[identity] = now + HELD_BACK_SECONDS
+                self._held_back[identity] = now + DEFERRAL_SECONDS
 
     def _has_left(self, identity: str) -> bool:
         """Return whether an incarnation was ever known to leave."""
@@ -260,7 +260,12 @@
     def _end_earlier(self, endpoint: Endpoint) -> list[Departure]:
         """Drop the earlier incarnation that has the endpoint's name, if any."""
         if endpoint.born:
-            remember(self._newest_born, endpoint.name, endpoint.born, DEPARTED_KEPT)
+            put_newest(
+                self._newest_born,
+                endpoint.name,
+                endpoint.born,
+                MAX_REMEMBERED_IDENTITIES,
+            )
         known = self._identities.get(endpoint.name, endpoint.identity)
         return [] if known == endpoint.identity else self.mark_restarted(known)
 
@@ -273,8 +278,8 @@
         endpoint = self._endpoints.pop(identity)
         self._identities.pop(endpoint.name, None)
         self._held_back.pop(identity, None)
-        remember(self._gone, identity, None, DEPARTED_KEPT)
+        put_newest(self._gone, identity, None, MAX_REMEMBERED_IDENTITIES)
         self._note_change()
         if endpoint.stage is EndpointStage.LEAVING:
-            remember(self._leaving, identity, None, DEPARTED_KEPT)
+            put_newest(self._leaving, identity, None, MAX_REMEMBERED_IDENTITIES)
         return [Departure(endpoint, is_gone=True, is_restarted=is_restarted)]
--- a/src/piershore/core/fleet/endpoint_health.py
+++ b/src/piershore/core/fleet/endpoint_health.py
@@ -9,14 +9,14 @@
 FAILURES_BEFORE_EJECTION = 3
 """Failures in a row that are unlikely at an endpoint's usual failure rate."""
 FIRST_EJECTION_SECONDS = 1.0
-MOST_EJECTION_DOUBLINGS = 3
+MAX_EJECTION_DOUBLINGS = 3
 """Each ejection is twice as long as the last one, up to 8 s, since a restart takes
 seconds. Without the bound the duration overflowed after 1,024 ejections, some hours."""
-FIRST_REFUSAL_SECONDS = 0.25
-MOST_REFUSAL_DOUBLINGS = 3
+FIRST_REFUSAL_EJECTION_SECONDS = 0.25
+MAX_REFUSAL_DOUBLINGS = 3
 """An endpoint that refuses work is ejected for the first time span, which doubles with
 each further refusal in a row, at most this many times."""
-SILENCE_SECONDS = 1.0
+SILENCE_EJECTION_SECONDS = 1.0
 """An endpoint that doesn't answer is ejected until the next probe. Sending there too
 early is harmless: a request that can't connect fails before it runs."""
 
@@ -33,7 +33,7 @@
         """Eject the endpoint, each time for longer; False if it is ejected already."""
         if now < self.ejected_until:
             return False
-        doublings = min(self.ejections, MOST_EJECTION_DOUBLINGS)
+        doublings = min(self.ejections, MAX_EJECTION_DOUBLINGS)
         self.ejected_until = now + FIRST_EJECTION_SECONDS * 2**doublings
         self.ejections += 1
         return True
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self._by_identity: dict[str, _Health] = {}
 
-    def note_success(self, identity: str) -> None:
+    def record_success(self, identity: str) -> None:
         """Record an attempt that succeeded."""
         health = self._by_identity.get(identity)
         if health is None:
@@ -56,7 +56,7 @@
         if health.failure_rate < FAILURE_WEIGHT / 2:
             del self._by_identity[identity]
 
-    def note_failure(self, identity: str, now: float) -> bool:
+    def record_failure(self, identity: str, now: float) -> bool:
         """Record a failed attempt; return whether it gets the endpoint ejected."""
         health = self._by_identity.setdefault(identity, _Health())
         health.failures_in_a_row += 1
@@ -65,7 +65,7 @@
             return False
         return health.eject(now)
 
-    def note_refusal(self, identity: str, now: float) -> bool:
+    def record_refusal(self, identity: str, now: float) -> bool:
         """Eject an endpoint that refused work; return whether it wasn't ejected.
 
         Its refusals take no time, so it looks like the least loaded one. In simulations
@@ -76,22 +76,22 @@
         it.
         """
         health = self._by_identity.setdefault(identity, _Health())
-        doublings = min(health.refusals_in_a_row, MOST_REFUSAL_DOUBLINGS)
+        doublings = min(health.refusals_in_a_row, MAX_REFUSAL_DOUBLINGS)
         health.refusals_in_a_row += 1
         is_new = now >= health.ejected_until
-        until = now + FIRST_REFUSAL_SECONDS * 2**doublings
+        until = now + FIRST_REFUSAL_EJECTION_SECONDS * 2**doublings
         health.ejected_until = max(health.ejected_until, until)
         return is_new
 
-    def note_failing(self, identity: str, now: float) -> bool:
+    def eject(self, identity: str, now: float) -> bool:
         """Eject an endpoint that fails at peers; return whether it wasn't ejected."""
         return self._by_identity.setdefault(identity, _Health()).eject(now)
 
-    def note_silence(self, identity: str, now: float) -> bool:
+    def record_silence(self, identity: str, now: float) -> bool:
         """Eject an endpoint that doesn't answer; return whether it wasn't ejected."""
         health = self._by_identity.setdefault(identity, _Health())
         is_new = now >= health.ejected_until
-        health.ejected_until = max(health.ejected_until, now + SILENCE_SECONDS)
+        health.ejected_until = max(health.ejected_until, now + SILENCE_EJECTION_SECONDS)
         return is_new
 
     def is_ejected(self, identity: str, now: float) -> bool:
--- a/src/piershore/core/fleet/endpoint_load.py
+++ b/src/piershore/core/fleet/endpoint_load.py
@@ -17,14 +17,14 @@
     requests: int = 0
     held_tokens: int = 0
     projected_tokens: int = 0
-    unread_tokens: int = 0
+    pending_prompt_tokens: int = 0
 
     def __add__(self, other: EndpointLoad) -> EndpointLoad:
         return EndpointLoad(
             self.requests + other.requests,
             self.held_tokens + other.held_tokens,
             self.projected_tokens + other.projected_tokens,
-            self.unread_tokens + other.unread_tokens,
+            self.pending_prompt_tokens + other.pending_prompt_tokens,
         )
 
     def __sub__(self, other: EndpointLoad) -> EndpointLoad:
@@ -32,7 +32,7 @@
             self.requests - other.requests,
             self.held_tokens - other.held_tokens,
             self.projected_tokens - other.projected_tokens,
-            self.unread_tokens - other.unread_tokens,
+            self.pending_prompt_tokens - other.pending_prompt_tokens,
         )
 
 
--- a/src/piershore/core/fleet/endpoint_notice.py
+++ b/src/piershore/core/fleet/endpoint_notice.py
@@ -24,12 +24,12 @@
     unreadable: str = ""
 
     @property
-    def named_rate(self) -> float | None:
+    def advertised_rate(self) -> float | None:
         """The rate limit that the endpoint advertises; None if there is none."""
         return None if self.rate_limit == UNLIMITED else self.rate_limit
 
 
 NO_NOTICE = EndpointNotice()
 """The notice of an answer that tells nothing about the endpoint."""
-PLAIN_NOTICE = EndpointNotice(rate_limit=UNLIMITED)
+UNRESTRICTED_NOTICE = EndpointNotice(rate_limit=UNLIMITED)
 """The notice of an endpoint that serves normally, without a rate limit."""
--- a/src/piershore/core/fleet/endpoint_paces.py
+++ b/src/piershore/core/fleet/endpoint_paces.py
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self._paces: dict[str, _Pace] = {}
 
-    def note_part(self, identity: str, gap: float | None, now: float) -> None:
+    def record_chunk(self, identity: str, gap: float | None, now: float) -> None:
         """Record a stream's chunk, and the seconds since its last chunk, if any."""
         pace = self._paces.setdefault(identity, _Pace())
         pace.last_part_at = now
@@ -31,7 +31,7 @@
         pace = self._paces.get(identity)
         return (pace.stalls if pace else StallDetector()).threshold
 
-    def last_part_at(self, identity: str) -> float:
+    def last_chunk_at(self, identity: str) -> float:
         """Return when the last chunk of any stream of the endpoint arrived."""
         pace = self._paces.get(identity)
         return pace.last_part_at if pace else float("-inf")
--- a/src/piershore/core/fleet/endpoint_rate_limits.py
+++ b/src/piershore/core/fleet/endpoint_rate_limits.py
@@ -19,22 +19,25 @@
 from piershore.core.fleet.endpoint import Endpoint
 from piershore.core.fleet.rate_shares import RateShares, Share
 from piershore.core.fleet.sent_requests import SentRequests
-from piershore.core.limits.endpoint_rate import CROSSING_SECONDS, LOWEST_RATE
+from piershore.core.limits.endpoint_rate_limiter import (
+    MAX_REORDERING_SECONDS,
+    MIN_REQUESTS_PER_SECOND,
+)
 
 UNLIMITED = inf
 """The rate of an endpoint that advertises no limit."""
 WINDOWS_SECONDS = (1.0, 2.0, 4.0)
 """Windows over which a rate is divided. The longest is a whole multiple of each, so
 that no span of that length has more requests than the rate allows."""
-TRANSIT_SECONDS = 0.1
+TRANSIT_JITTER_SECONDS = 0.1
 """How much the transit times of requests may differ."""
-UNCONFIRMED_SECONDS = 10.0
+PROBE_AFTER_SECONDS = 10.0
 """A limit that no answer has confirmed for this long is probed by one gateway."""
-NEXT_ASKER_SECONDS = 1.0
+PROBE_STAGGER_SECONDS = 1.0
 """The gateway of the next rank probes this much later, unless an answer is reported."""
-TOLD_SECONDS = 10.0
+REPORTED_SECONDS = 10.0
 """How long the rate in an answer is reported to peers."""
-MOST_TOLD = 32
+MAX_REPORTED_ENDPOINTS = 32
 """Endpoints in one report, so that it fits a packet."""
 FORGET_SECONDS = 300.0
 """A limit that no answer or report has confirmed for this long is dropped."""
@@ -49,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class NamedRate:
+class AdvertisedRate:
     """The rate that an answer advertised, and when the answer came."""
 
     rate: float
@@ -69,7 +72,7 @@
     age: float
 
 
-def quota_of(rate: float, gateways: int) -> RateQuota:
+def fleet_quota(rate: float, gateways: int) -> RateQuota:
     """Return the quota of all gateways together for an endpoint.
 
     The window is the shortest in which each gateway gets at least one request, else the
@@ -80,7 +83,7 @@
         if requests >= gateways:
             return RateQuota(requests, window)
     if not requests:
-        return RateQuota(1, 1 / max(rate, LOWEST_RATE))
+        return RateQuota(1, 1 / max(rate, MIN_REQUESTS_PER_SECOND))
     return RateQuota(requests, window)
 
 
@@ -89,8 +92,8 @@
 
     def __init__(self, shares: RateShares) -> None:
         self._shares = shares
-        self._latest: dict[str, NamedRate] = {}
-        self._own: dict[str, NamedRate] = {}
+        self._latest: dict[str, AdvertisedRate] = {}
+        self._own: dict[str, AdvertisedRate] = {}
         self._sent = SentRequests()
 
     def rate(self, identity: str) -> float:
@@ -111,14 +114,14 @@
         latest = self._latest.get(identity)
         if rate == UNLIMITED and not self._may_end(latest, now):
             return False
-        named = NamedRate(rate, now)
+        named = AdvertisedRate(rate, now)
         self._own[identity] = self._latest[identity] = named
         return latest is None or latest.rate != rate
 
     def apply_report(self, told: Mapping[str, RateReport], now: float) -> Iterator[str]:
         """Apply a peer's report; yield the endpoints whose limit has changed."""
         for identity, report in told.items():
-            named = NamedRate(report.rate, now - report.age)
+            named = AdvertisedRate(report.rate, now - report.age)
             latest = self._latest.get(identity)
             if latest is None and not named.is_limit:
                 continue
@@ -133,15 +136,17 @@
 
         Rates that peers reported aren't passed on: they would look newer each time.
         """
-        lately = {i: n for i, n in self._own.items() if now - n.at < TOLD_SECONDS}
-        newest = sorted(lately, key=lambda i: lately[i].at, reverse=True)[:MOST_TOLD]
+        lately = {i: n for i, n in self._own.items() if now - n.at < REPORTED_SECONDS}
+        newest = sorted(lately, key=lambda i: lately[i].at, reverse=True)[
+            :MAX_REPORTED_ENDPOINTS
+        ]
         return {i: RateReport(lately[i].rate, now - lately[i].at) for i in newest}
 
     def may_send(self, endpoint: Endpoint, now: float) -> bool:
         """Return whether this gateway may send a request to an endpoint now."""
         return not self.seconds_until_free(endpoint, now)
 
-    def used_up(self, endpoints: Iterable[Endpoint], now: float) -> Iterator[str]:
+    def exhausted(self, endpoints: Iterable[Endpoint], now: float) -> Iterator[str]:
         """Yield the endpoints whose quota of this gateway is used up for now."""
         if self._latest:
             yield from (e.identity for e in endpoints if not self.may_send(e, now))
@@ -154,7 +159,7 @@
             return False
         if not self.may_send(endpoint, now):
             return False
-        window = self.part(endpoint).window + TRANSIT_SECONDS
+        window = self.quota(endpoint).window + TRANSIT_JITTER_SECONDS
         self._sent.record(endpoint.identity, now, window)
         return True
 
@@ -177,17 +182,17 @@
         sent_at = self._sent.latest(endpoint.identity, quota.requests)
         if sent_at is None:
             return 0.0
-        return max(0.0, sent_at + quota.window + TRANSIT_SECONDS - now)
+        return max(0.0, sent_at + quota.window + TRANSIT_JITTER_SECONDS - now)
 
-    def own_rate(self, endpoint: Endpoint) -> float:
+    def gateway_rate(self, endpoint: Endpoint) -> float:
         """Return the mean rate that a limit leaves to one gateway, in requests a
         second.
         """
         share = self._shares.of(endpoint)
         gateways = share.gateways if share else len(self._shares)
-        return max(self.rate(endpoint.identity), LOWEST_RATE) / gateways
+        return max(self.rate(endpoint.identity), MIN_REQUESTS_PER_SECOND) / gateways
 
-    def part(self, endpoint: Endpoint) -> RateQuota | None:
+    def quota(self, endpoint: Endpoint) -> RateQuota | None:
         """Return this gateway's quota at an endpoint; None if it has no rate limit."""
         if not self.is_limited(endpoint.identity):
             return None
@@ -202,35 +207,35 @@
         self._own.pop(identity, None)
         self._sent.forget(identity)
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop unconfirmed limits, and ended ones that no longer need reporting."""
         for identity, named in list(self._latest.items()):
-            kept = FORGET_SECONDS if named.is_limit else TOLD_SECONDS
+            kept = FORGET_SECONDS if named.is_limit else REPORTED_SECONDS
             if now - named.at >= kept:
                 self.forget(identity)
 
     def _quota(self, rate: float, share: Share) -> RateQuota:
         """Return this gateway's quota of a rate."""
-        quota = quota_of(rate, share.gateways)
-        return RateQuota(share.part(quota.requests), quota.window)
+        quota = fleet_quota(rate, share.gateways)
+        return RateQuota(share.quota(quota.requests), quota.window)
 
     @staticmethod
-    def _may_end(latest: NamedRate | None, now: float) -> bool:
+    def _may_end(latest: AdvertisedRate | None, now: float) -> bool:
         """Return whether an answer without a rate ends a limit."""
         if latest is None:
             return False
-        return not latest.is_limit or now - latest.at >= CROSSING_SECONDS
+        return not latest.is_limit or now - latest.at >= MAX_REORDERING_SECONDS
 
     def _may_ask(
         self,
         identity: str,
-        latest: NamedRate,
+        latest: AdvertisedRate,
         share: Share,
         window: float,
         now: float,
     ) -> bool:
         """Return whether this gateway should probe whether a limit still applies."""
-        unconfirmed = max(UNCONFIRMED_SECONDS, 2 * window)
-        asks_at = latest.at + unconfirmed + share.rank * NEXT_ASKER_SECONDS
+        unconfirmed = max(PROBE_AFTER_SECONDS, 2 * window)
+        asks_at = latest.at + unconfirmed + share.rank * PROBE_STAGGER_SECONDS
         sent_at = self._sent.latest(identity, 1)
         return now >= asks_at and (sent_at is None or now >= sent_at + unconfirmed)
--- a/src/piershore/core/fleet/evacuation_plan.py
+++ b/src/piershore/core/fleet/evacuation_plan.py
@@ -17,24 +17,24 @@
 from piershore.core.hashing import stable_hash
 from piershore.core.routes.service_spec import EngineSpec
 
-FULL_SHARE = 0.9
+MAX_MEMORY_SHARE = 0.9
 """Share of a target's memory that plans may fill: projections are often too low."""
 COPY_BUDGET_SECONDS = 1.15
 """Time for the first copies of all streams: the shortest notice observed is 1.5 s, and
 stopping a stream and continuing it elsewhere takes 0.1 to 0.2 s."""
-REMOTE_TOKENS = (0, 4_000, 8_000, 16_000, 64_000)
+REMOTE_PENALTY_TOKENS = (0, 4_000, 8_000, 16_000, 64_000)
 """By how many tokens a target in another data hall must be emptier to be preferred.
 The values are tried in turn: the first spreads the load evenly, the last keeps copies
 shortest."""
-MOST_TARGETS = 48
+MAX_TARGETS = 48
 """Targets that a plan considers; a source has some 10 streams. In a large fleet they
 are picked by a hash, so that all gateways consider the same ones."""
-ROUNDING_TOKENS = 1_000
+LOAD_STEP_TOKENS = 1_000
 """Loads are compared in steps of this size, since gateways' views differ slightly."""
 
 
 @dataclass(frozen=True)
-class StreamNote:
+class StreamReport:
     """A generation at a leaving endpoint, as its gateway reports it."""
 
     request: str
@@ -43,7 +43,7 @@
     has_backup: bool = False
 
 
-class MoveWay(StrEnum):
+class MoveMethod(StrEnum):
     """How a generation moves to another endpoint."""
 
     COPY = "copy"
@@ -61,20 +61,20 @@
     request: str
     target: Endpoint
     start: float
-    way: MoveWay = MoveWay.COPY
+    method: MoveMethod = MoveMethod.COPY
 
 
 def choose_targets(source: Endpoint, others: Iterable[Endpoint]) -> list[Endpoint]:
     """Return the endpoints where generations of `source` may continue."""
     targets = [target for target in others if target.identity != source.identity]
-    if len(targets) <= MOST_TARGETS:
+    if len(targets) <= MAX_TARGETS:
         return targets
-    return nsmallest(MOST_TARGETS, targets, key=partial(_tie, source))
+    return nsmallest(MAX_TARGETS, targets, key=partial(_tie, source))
 
 
 def plan_evacuation(
     source: Endpoint,
-    notes: Iterable[StreamNote],
+    notes: Iterable[StreamReport],
     targets: Sequence[Endpoint],
     loads: Mapping[str, EndpointLoad],
     engine: EngineSpec,
@@ -87,7 +87,7 @@
     """
     ordered = sorted(notes, key=_copy_order)
     moves: tuple[PlannedMove, ...] = ()
-    for remote_tokens in REMOTE_TOKENS:
+    for remote_tokens in REMOTE_PENALTY_TOKENS:
         planner = _Planner(source, targets, loads, engine, remote_tokens)
         moves = tuple(planner.plan(ordered))
         if planner.seconds <= COPY_BUDGET_SECONDS:
@@ -114,7 +114,7 @@
         self._added = dict.fromkeys((target.identity for target in targets), 0)
         self.seconds = 0.0
 
-    def plan(self, notes: Iterable[StreamNote]) -> Iterator[PlannedMove]:
+    def plan(self, notes: Iterable[StreamReport]) -> Iterator[PlannedMove]:
         """Yield a move for each stream; then `seconds` is the time of all copies."""
         for note in notes:
             target = min(self._targets, key=partial(self._rank, note), default=None)
@@ -122,21 +122,23 @@
                 return
             start = self.seconds
             self.seconds += self._engine.copy_seconds(
-                note.held_tokens, within_hall=not self._is_remote(target)
+                note.held_tokens, within_data_hall=not self._is_remote(target)
             )
-            way = MoveWay.COPY
+            way = MoveMethod.COPY
             if self.seconds > COPY_BUDGET_SECONDS and note.has_backup:
-                way = MoveWay.BACKUP
+                way = MoveMethod.BACKUP
             yield PlannedMove(note.request, target, start, way)
             self._added[target.identity] += note.held_tokens
 
-    def _rank(self, note: StreamNote, target: Endpoint) -> tuple:
+    def _rank(self, note: StreamReport, target: Endpoint) -> tuple:
         load = self._loads.get(target.identity, NO_LOAD)
         tokens = load.projected_tokens + self._added[target.identity]
-        is_full = tokens + note.held_tokens > FULL_SHARE * self._engine.memory_tokens
+        is_full = (
+            tokens + note.held_tokens > MAX_MEMORY_SHARE * self._engine.memory_tokens
+        )
         if self._is_remote(target):
             tokens += self._remote_tokens
-        return is_full, tokens // ROUNDING_TOKENS, _tie(self._source, target)
+        return is_full, tokens // LOAD_STEP_TOKENS, _tie(self._source, target)
 
     def _is_remote(self, target: Endpoint) -> bool:
         return target.data_hall != self._source.data_hall
@@ -146,6 +148,6 @@
     return stable_hash(source.identity, target.identity)
 
 
-def _copy_order(note: StreamNote) -> tuple:
+def _copy_order(note: StreamReport) -> tuple:
     """Return the sort key of a stream: first those that can't continue otherwise."""
     return note.has_backup, not note.has_begun, note.held_tokens, note.request
--- a/src/piershore/core/fleet/fleet_load.py
+++ b/src/piershore/core/fleet/fleet_load.py
@@ -39,7 +39,7 @@
         )
 
 
-class CopyWork:
+class MoveTargetWork:
     """The batch slot and memory that a moving generation reserves at its target."""
 
     def __init__(self, work: Work) -> None:
@@ -86,7 +86,7 @@
             return NO_LOAD
         return sum((work.load() for work in works.values()), NO_LOAD)
 
-    def take_report(
+    def apply_report(
         self, peer: str, loads: Mapping[str, EndpointLoad], now: float
     ) -> None:
         """Replace all loads that a peer reported."""
@@ -95,7 +95,7 @@
         for identity, load in loads.items():
             self._add_to_sum(identity, load)
 
-    def take_part(self, peer: str, identity: str, load: EndpointLoad) -> None:
+    def apply_update(self, peer: str, identity: str, load: EndpointLoad) -> None:
         """Replace a peer's load at one endpoint, until its next report."""
         if peer not in self._peers:
             return
