--- a/src/piershore/core/fleet/generation_admission.py
+++ b/src/piershore/core/fleet/generation_admission.py
@@ -11,15 +11,15 @@
 from piershore.core.fleet.generation_work import GenerationWork
 from piershore.core.routes.service_spec import EngineSpec
 
-HELD_SHARE = 0.9
+MAX_HELD_SHARE = 0.9
 """Share of the memory that may be in use now, including the new prompt: beyond it the
 engine queues the prompt or preempts other generations."""
-PROJECTED_SHARE = 1.25
+MAX_PROJECTED_SHARE = 1.25
 """Share of the memory that may be projected at the expected ends: it is above 1 since
 generations don't all end at the same time."""
 TOKEN_SECONDS = 0.01
 """Time per token in a batch of typical size."""
-SOONEST_SECONDS, LATEST_SECONDS = 1.0, 5.0
+MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS = 1.0, 5.0
 """Bounds of the time until a retry: engines are replaced after about 4 s."""
 
 
@@ -30,13 +30,13 @@
     held = load.held_tokens + work.held_tokens
     projected = load.projected_tokens + work.held_tokens + work.remaining_tokens
     return (
-        held <= HELD_SHARE * engine.memory_tokens
-        and projected <= PROJECTED_SHARE * engine.memory_tokens
+        held <= MAX_HELD_SHARE * engine.memory_tokens
+        and projected <= MAX_PROJECTED_SHARE * engine.memory_tokens
     )
 
 
-def come_back_seconds(load: EndpointLoad) -> float:
+def retry_after_seconds(load: EndpointLoad) -> float:
     """Return the estimated seconds until some of an engine's generations have ended."""
     remaining = load.projected_tokens - load.held_tokens
     seconds = TOKEN_SECONDS * remaining / max(1, load.requests)
-    return min(LATEST_SECONDS, max(SOONEST_SECONDS, seconds))
+    return min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds))
--- a/src/piershore/core/fleet/generation_work.py
+++ b/src/piershore/core/fleet/generation_work.py
@@ -56,14 +56,14 @@
         return self._remaining[1]
 
     @property
-    def most_remaining_tokens(self) -> int:
+    def max_remaining_tokens(self) -> int:
         """Upper bound of the output that remains."""
         return max(0, self.size.max_output_tokens - self.made_tokens)
 
     @property
     def is_long(self) -> bool:
         """Whether the generation may still run for long."""
-        return self.most_remaining_tokens > LONG_TOKENS
+        return self.max_remaining_tokens > LONG_TOKENS
 
     def load(self) -> EndpointLoad:
         """Return the generation's contribution to an endpoint's load."""
@@ -71,5 +71,5 @@
             requests=1,
             held_tokens=self.held_tokens,
             projected_tokens=self.held_tokens + self.remaining_tokens,
-            unread_tokens=0 if self.has_begun else self.size.prompt_tokens,
+            pending_prompt_tokens=0 if self.has_begun else self.size.prompt_tokens,
         )
--- a/src/piershore/core/fleet/length_estimate.py
+++ b/src/piershore/core/fleet/length_estimate.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from math import erfc, exp, log, sqrt
 
-NEGLIGIBLE = 1e-4
+NEGLIGIBLE_PROBABILITY = 1e-4
 """Below this probability of its length, a generation is longer than ever expected."""
-LEAST_SPREAD = 0.01
+MIN_SPREAD = 0.01
 """A distribution with less spread is treated as a known length."""
 
 
@@ -22,7 +22,7 @@
 
     median: float
     spread: float
-    most: int
+    maximum: int
 
     @classmethod
     def exactly(cls, tokens: int) -> LengthEstimate:
@@ -31,22 +31,22 @@
 
     def mean_remaining(self, made: int) -> float:
         """Return the mean remaining output, given that `made` tokens were generated."""
-        if made >= self.most:
+        if made >= self.maximum:
             return 0.0
-        if self.spread < LEAST_SPREAD:
-            return max(0.0, min(self.median, self.most) - made)
+        if self.spread < MIN_SPREAD:
+            return max(0.0, min(self.median, self.maximum) - made)
         chance = self._chance_beyond(made)
-        if chance < NEGLIGIBLE:
-            return (self.most - made) / 2
-        return (self._mean_up_to(self.most) - self._mean_up_to(made)) / chance
+        if chance < NEGLIGIBLE_PROBABILITY:
+            return (self.maximum - made) / 2
+        return (self._mean_up_to(self.maximum) - self._mean_up_to(made)) / chance
 
     def median_remaining(self, made: int) -> float:
         """Return the remaining tokens up to the median.
 
         Beyond the median, return half of those up to the maximum.
         """
-        median = min(self.median, self.most)
-        return median - made if made < median else max(0, self.most - made) / 2
+        median = min(self.median, self.maximum)
+        return median - made if made < median else max(0, self.maximum - made) / 2
 
     def _mean_up_to(self, length: float) -> float:
         """Return the mean of the output, capped at `length`."""
--- a/src/piershore/core/fleet/load_note.py
+++ b/src/piershore/core/fleet/load_update.py
@@ -9,12 +9,12 @@
 from piershore.core.fleet.endpoint_load import EndpointLoad
 from piershore.core.fleet.peer_report import InvalidReportError
 
-MARK = b"+"
+LOAD_UPDATE_PREFIX = b"+"
 """First byte of a load update; reports start with a bracket."""
 
 
 @dataclass(frozen=True)
-class LoadNote:
+class LoadUpdate:
     """A gateway's total load at one endpoint, so that updates may be lost or repeated.
 
     `number` comes from the same sequence as the reports of this `incarnation`: an
@@ -28,14 +28,14 @@
     load: EndpointLoad
 
     @staticmethod
-    def is_note(data: bytes) -> bool:
+    def is_load_update(data: bytes) -> bool:
         """Return whether a datagram is a load update and not a report."""
-        return data.startswith(MARK)
+        return data.startswith(LOAD_UPDATE_PREFIX)
 
     def encode(self) -> bytes:
         """Return the update as a datagram."""
         load = self.load
-        return MARK + orjson.dumps(
+        return LOAD_UPDATE_PREFIX + orjson.dumps(
             [
                 self.host,
                 self.incarnation,
@@ -44,15 +44,17 @@
                 load.requests,
                 load.held_tokens,
                 load.projected_tokens,
-                load.unread_tokens,
+                load.pending_prompt_tokens,
             ]
         )
 
     @classmethod
-    def decode(cls, data: bytes) -> LoadNote:
+    def decode(cls, data: bytes) -> LoadUpdate:
         """Decode a datagram; raise `InvalidReportError` if it isn't a load update."""
         try:
-            host, incarnation, number, endpoint, *load = orjson.loads(data[len(MARK) :])
+            host, incarnation, number, endpoint, *load = orjson.loads(
+                data[len(LOAD_UPDATE_PREFIX) :]
+            )
             requests, held, projected, unread = map(int, load)
             return cls(
                 str(host),
--- a/src/piershore/core/fleet/room_wait.py
+++ b/src/piershore/core/fleet/memory_wait.py
@@ -18,24 +18,24 @@
 
 from random import Random
 
-WAITING_SHARE = 0.35
+MAX_WAIT_SHARE = 0.35
 """Share of the first token's target latency that a generation may wait for memory; the
 rest is for processing its prompt."""
-LOOK_AGAIN_SECONDS = 0.1
+MEAN_CHECK_INTERVAL_SECONDS = 0.1
 """Mean time between two checks for memory: an engine frees memory several times per
 second, and peers learn of a start within 14 ms."""
-SPREAD = (0.5, 1.5)
+CHECK_INTERVAL_JITTER = (0.5, 1.5)
 """Bounds of the random factor on that time, so that gateways don't check together."""
-LONGEST_PAUSE_BEFORE_START = 0.1
+MAX_DELAY_BEFORE_START_SECONDS = 0.1
 """Maximum delay between the check that found memory and the one before the start."""
 
 
-def waiting_seconds(aim: float) -> float:
+def max_memory_wait_seconds(aim: float) -> float:
     """Return how long a generation may wait for memory, given its target in seconds."""
-    return WAITING_SHARE * aim
+    return MAX_WAIT_SHARE * aim
 
 
-class RoomWait:
+class MemoryWait:
     """Decides when a waiting generation checks for memory again, and when it starts."""
 
     def __init__(self, random: Random) -> None:
@@ -43,12 +43,14 @@
         self._has_waited = False
         self._has_found = False
 
-    def next_pause(self, *, has_room: bool) -> float | None:
+    def next_pause(self, *, has_memory: bool) -> float | None:
         """Return the seconds until the next check, or None to start now."""
-        if not has_room:
+        if not has_memory:
             self._has_waited, self._has_found = True, False
-            return LOOK_AGAIN_SECONDS * self._random.uniform(*SPREAD)
+            return MEAN_CHECK_INTERVAL_SECONDS * self._random.uniform(
+                *CHECK_INTERVAL_JITTER
+            )
         if not self._has_waited or self._has_found:
             return None
         self._has_found = True
-        return self._random.uniform(0, LONGEST_PAUSE_BEFORE_START)
+        return self._random.uniform(0, MAX_DELAY_BEFORE_START_SECONDS)
--- a/src/piershore/core/fleet/heard_notices.py
+++ b/src/piershore/core/fleet/notice_handler.py
@@ -4,19 +4,19 @@
 
 from dataclasses import dataclass
 
-from piershore.core.fleet.asked_rests import AskedRests
+from piershore.core.bounded_mapping import put_newest
 from piershore.core.fleet.endpoint import Endpoint
 from piershore.core.fleet.endpoint_directory import Departure, EndpointDirectory
-from piershore.core.fleet.endpoint_notice import EndpointNotice, PLAIN_NOTICE
+from piershore.core.fleet.endpoint_notice import EndpointNotice, UNRESTRICTED_NOTICE
 from piershore.core.fleet.endpoint_rate_limits import EndpointRateLimits
-from piershore.core.remembering import remember
+from piershore.core.fleet.requested_backoffs import RequestedBackoffs
 
-MOST_KNOWN = 512
+MAX_REMEMBERED_NOTICES = 512
 """Endpoints whose last notice is remembered, to recognize repeated ones."""
 
 
 @dataclass(frozen=True)
-class Heard:
+class NoticeResult:
     """The effects of a notice.
 
     `is_new`: the endpoint's last notice was different. `has_new_limit`: the endpoint's
@@ -28,13 +28,13 @@
     departures: tuple[Departure, ...] = ()
 
 
-class HeardNotices:
+class NoticeHandler:
     """Updates the directory, the backoffs and the rate limits from notices."""
 
     def __init__(
         self,
         directory: EndpointDirectory,
-        rests: AskedRests,
+        rests: RequestedBackoffs,
         limits: EndpointRateLimits,
     ) -> None:
         self._directory = directory
@@ -42,7 +42,9 @@
         self._limits = limits
         self._last: dict[str, EndpointNotice] = {}
 
-    def take(self, endpoint: Endpoint, notice: EndpointNotice, now: float) -> Heard:
+    def apply(
+        self, endpoint: Endpoint, notice: EndpointNotice, now: float
+    ) -> NoticeResult:
         """Apply a notice and return its effects."""
         identity = endpoint.identity
         departures: list[Departure] = []
@@ -51,14 +53,14 @@
             # writes for 6 s, 40 calls were sent to an endpoint that stopped during the
             # last of them.
             departures = self._directory.mark_leaving(identity)
-        is_new = notice not in (PLAIN_NOTICE, self._last.get(identity))
+        is_new = notice not in (UNRESTRICTED_NOTICE, self._last.get(identity))
         if notice.rest_seconds is not None:
-            is_new = is_new or not self._rests.is_resting(identity, now)
-            self._rests.note(identity, notice.rest_seconds, now)
+            is_new = is_new or not self._rests.is_active(identity, now)
+            self._rests.record(identity, notice.rest_seconds, now)
         has_new_limit = False
         if notice.rate_limit is not None:
             rate = notice.rate_limit
             has_new_limit = self._limits.record_answer(identity, rate, now)
         if is_new:
-            remember(self._last, identity, notice, MOST_KNOWN)
-        return Heard(is_new, has_new_limit, tuple(departures))
+            put_newest(self._last, identity, notice, MAX_REMEMBERED_NOTICES)
+        return NoticeResult(is_new, has_new_limit, tuple(departures))
--- a/src/piershore/core/fleet/output_lengths.py
+++ b/src/piershore/core/fleet/output_lengths.py
@@ -15,22 +15,22 @@
 from piershore.core.fleet.generation_work import GenerationSize
 from piershore.core.fleet.length_estimate import LengthEstimate
 
-GUESS_SPREAD = 1.2
+PRIOR_HINT_SPREAD = 1.2
 """Prior standard deviation of the logarithm of hint over length."""
-LENGTH_SPREAD = 0.9
+PRIOR_LENGTH_SPREAD = 0.9
 """Prior standard deviation of the logarithms of a route's lengths; logs showed 0.84 and
 0.99."""
-UNKNOWN_SHARE_OF_MOST = 0.3
+PRIOR_MEDIAN_SHARE = 0.3
 """Prior median length, as a share of the maximum that the request allows."""
-PRIOR_COUNT = 4.0
+PRIOR_WEIGHT = 4.0
 """Weight of these priors, in observed lengths."""
-MEMORY_SECONDS = 180.0
+DECAY_SECONDS = 180.0
 """Time in which the weight of an observed length decays by a factor of e: three minutes
 of a busy service have about a hundred generations, and workloads change over hours."""
-TOLD_SECONDS = 30.0
+PEER_REPORT_EXPIRY_SECONDS = 30.0
 """How long a peer's report counts. Its lengths stay valid for a while after the peer
 departed, since it served the same workload."""
-SUMMED_SECONDS = 0.5
+SUM_CACHE_SECONDS = 0.5
 """How long a sum over all peers is cached: computing it takes 0.8 ms for 410 peers."""
 
 
@@ -44,35 +44,35 @@
     """
 
     count: float = 0.0
-    logs: float = 0.0
-    squares: float = 0.0
-    guesses: float = 0.0
-    guess_squares: float = 0.0
+    log_sum: float = 0.0
+    log_square_sum: float = 0.0
+    hint_count: float = 0.0
+    hint_error_square_sum: float = 0.0
 
     def __add__(self, other: LengthSums) -> LengthSums:
         return LengthSums(
             self.count + other.count,
-            self.logs + other.logs,
-            self.squares + other.squares,
-            self.guesses + other.guesses,
-            self.guess_squares + other.guess_squares,
+            self.log_sum + other.log_sum,
+            self.log_square_sum + other.log_square_sum,
+            self.hint_count + other.hint_count,
+            self.hint_error_square_sum + other.hint_error_square_sum,
         )
 
     @property
-    def deviations(self) -> float:
+    def squared_deviation_sum(self) -> float:
         """Sum of the squared deviations of the logarithms from their mean."""
         if not self.count:
             return 0.0
-        return max(0.0, self.squares - self.logs**2 / self.count)
+        return max(0.0, self.log_square_sum - self.log_sum**2 / self.count)
 
     def scaled(self, weight: float) -> LengthSums:
         """Return the sums with the weight of each generation scaled."""
         return LengthSums(
             self.count * weight,
-            self.logs * weight,
-            self.squares * weight,
-            self.guesses * weight,
-            self.guess_squares * weight,
+            self.log_sum * weight,
+            self.log_square_sum * weight,
+            self.hint_count * weight,
+            self.hint_error_square_sum * weight,
         )
 
     @classmethod
@@ -85,11 +85,11 @@
         return cls(1.0, length, length**2, 1.0, error**2)
 
 
-NOTHING_SEEN = LengthSums()
+NO_LENGTHS = LengthSums()
 
 
 @dataclass(frozen=True)
-class LengthBelief:
+class RouteLengthEstimate:
     """Estimated distribution of a route's lengths; spreads are of logarithms.
 
     `sample_weight` is the total weight of the observed lengths.
@@ -97,8 +97,8 @@
 
     median: float
     spread: float
-    guess_spread: float
-    seen: float
+    hint_spread: float
+    sample_weight: float
 
 
 class OutputLengths:
@@ -118,36 +118,40 @@
         """Return the sums observed by this gateway, by route."""
         return {route: self._own_sums(route, now) for route in self._own}
 
-    def take_report(
+    def apply_report(
         self, peer: str, sums: Mapping[str, LengthSums], now: float
     ) -> None:
         """Replace what a peer reported, and drop expired reports."""
         self._peers[peer] = (now, sums)
         told = self._peers.items()
-        for old in [host for host, (at, _) in told if now - at > TOLD_SECONDS]:
+        for old in [
+            host for host, (at, _) in told if now - at > PEER_REPORT_EXPIRY_SECONDS
+        ]:
             del self._peers[old]
 
-    def belief(self, route: str, most: int, now: float) -> LengthBelief:
+    def route_estimate(self, route: str, most: int, now: float) -> RouteLengthEstimate:
         """Return the estimate of a route whose outputs have at most `most` tokens."""
         seen = self._all_sums(route, now)
-        first = log(max(1.0, UNKNOWN_SHARE_OF_MOST * max(1, most)))
-        count = PRIOR_COUNT + seen.count
-        middle = (PRIOR_COUNT * first + seen.logs) / count
-        variance = (PRIOR_COUNT * LENGTH_SPREAD**2 + seen.deviations) / count
-        guess_variance = (PRIOR_COUNT * GUESS_SPREAD**2 + seen.guess_squares) / (
-            PRIOR_COUNT + seen.guesses
-        )
-        return LengthBelief(
+        first = log(max(1.0, PRIOR_MEDIAN_SHARE * max(1, most)))
+        count = PRIOR_WEIGHT + seen.count
+        middle = (PRIOR_WEIGHT * first + seen.log_sum) / count
+        variance = (
+            PRIOR_WEIGHT * PRIOR_LENGTH_SPREAD**2 + seen.squared_deviation_sum
+        ) / count
+        guess_variance = (
+            PRIOR_WEIGHT * PRIOR_HINT_SPREAD**2 + seen.hint_error_square_sum
+        ) / (PRIOR_WEIGHT + seen.hint_count)
+        return RouteLengthEstimate(
             exp(middle), sqrt(variance), sqrt(guess_variance), seen.count
         )
 
     def estimate(self, route: str, size: GenerationSize, now: float) -> LengthEstimate:
         """Return the estimate of a new generation's length."""
         most = max(1, size.max_output_tokens)
-        belief = self.belief(route, most, now)
+        belief = self.route_estimate(route, most, now)
         if size.hinted_tokens is None:
             return LengthEstimate(belief.median, belief.spread, most)
-        guess_weight = 1 / belief.guess_spread**2
+        guess_weight = 1 / belief.hint_spread**2
         own_weight = 1 / belief.spread**2
         total = guess_weight + own_weight
         guess = log(max(1, size.hinted_tokens))
@@ -155,17 +159,21 @@
         return LengthEstimate(exp(middle), 1 / sqrt(total), most)
 
     def _own_sums(self, route: str, now: float) -> LengthSums:
-        at, sums = self._own.get(route, (now, NOTHING_SEEN))
-        return sums.scaled(exp((at - now) / MEMORY_SECONDS))
+        at, sums = self._own.get(route, (now, NO_LENGTHS))
+        return sums.scaled(exp((at - now) / DECAY_SECONDS))
 
     def _all_sums(self, route: str, now: float) -> LengthSums:
-        at, sums = self._summed.get(route, (float("-inf"), NOTHING_SEEN))
-        if now - at > SUMMED_SECONDS:
+        at, sums = self._summed.get(route, (float("-inf"), NO_LENGTHS))
+        if now - at > SUM_CACHE_SECONDS:
             sums = self._sum(route, now)
             self._summed[route] = (now, sums)
         return sums
 
     def _sum(self, route: str, now: float) -> LengthSums:
-        told = (sums for at, sums in self._peers.values() if now - at < TOLD_SECONDS)
-        peers = (sums.get(route, NOTHING_SEEN) for sums in told)
+        told = (
+            sums
+            for at, sums in self._peers.values()
+            if now - at < PEER_REPORT_EXPIRY_SECONDS
+        )
+        peers = (sums.get(route, NO_LENGTHS) for sums in told)
         return sum(peers, self._own_sums(route, now))
--- a/src/piershore/core/fleet/peer_report.py
+++ b/src/piershore/core/fleet/peer_report.py
@@ -10,26 +10,26 @@
 from piershore.core.fleet.drained_halls import DrainedHalls
 from piershore.core.fleet.endpoint_load import EndpointLoad
 from piershore.core.fleet.endpoint_rate_limits import RateReport, UNLIMITED
-from piershore.core.fleet.evacuation_plan import StreamNote
+from piershore.core.fleet.evacuation_plan import StreamReport
 from piershore.core.fleet.output_lengths import LengthSums
-from piershore.core.fleet.shared_failures import Outcomes
+from piershore.core.fleet.shared_failures import OutcomeCounts
 from piershore.core.fleet.store_revision import StoreRevision
-from piershore.core.fleet.store_silence import StoreSign
+from piershore.core.fleet.store_silence import StoreLiveness
 from piershore.errors import PiershoreError
 
-PLAIN_FIELDS = 12
+SCALAR_FIELD_COUNT = 12
 """Number of scalar fields at the start of a report."""
-NOTE_FLAGS = 2
-LARGEST_AMOUNT = 1e12
+STREAM_FLAG_COUNT = 2
+MAX_AMOUNT = 1e12
 """Upper bound of numbers in a report: above any sum over generations and any time."""
 AGE_DIGITS = 3
 """Decimal places of the ages of answers; enough to order the answers."""
 SUM_DIGITS = 2
 """Decimal places of sums of logarithms; the error of spreads is some hundredths."""
-MOST_HALVINGS = 3
+MAX_HALVINGS = 3
 """A report that is too large keeps only the busiest endpoints: half, a quarter or an
 eighth of them."""
-LONGEST_AGE_SECONDS = 3_600.0
+MAX_AGE_SECONDS = 3_600.0
 """Maximum age that is reported, also for an answer that never arrived."""
 
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class DepartureNote:
+class DepartureReport:
     """An endpoint that departed recently.
 
     `is_gone` is set if its entry was removed, `is_restarted` if a new incarnation has
@@ -77,13 +77,13 @@
     fingerprint: int
     reads_store: bool
     is_leaving: bool
-    store_sign: StoreSign
+    store_liveness: StoreLiveness
     link_megabits: float
     members: tuple[str, ...]
     loads: Mapping[str, EndpointLoad]
-    leaving: Mapping[str, tuple[StreamNote, ...]]
-    departed: tuple[DepartureNote, ...] = ()
-    outcomes: Mapping[str, Outcomes] = field(default_factory=dict)
+    leaving: Mapping[str, tuple[StreamReport, ...]]
+    departed: tuple[DepartureReport, ...] = ()
+    outcomes: Mapping[str, OutcomeCounts] = field(default_factory=dict)
     cold: Mapping[str, float] = field(default_factory=dict)
     drained: DrainedHalls | None = None
     lengths: Mapping[str, LengthSums] = field(default_factory=dict)
@@ -102,8 +102,8 @@
                 self.fingerprint,
                 self.reads_store,
                 self.is_leaving,
-                min(self.store_sign.answer_age, LONGEST_AGE_SECONDS),
-                self.store_sign.is_overdue,
+                min(self.store_liveness.answer_age, MAX_AGE_SECONDS),
+                self.store_liveness.is_overdue,
                 self.link_megabits,
                 self.members,
                 {
@@ -111,7 +111,7 @@
                         load.requests,
                         load.held_tokens,
                         load.projected_tokens,
-                        load.unread_tokens,
+                        load.pending_prompt_tokens,
                     ]
                     for identity, load in self.loads.items()
                 },
@@ -163,7 +163,7 @@
         yield report
         report = replace(report, outcomes={}, cold={}, lengths={})
         yield report
-        for halvings in range(1, MOST_HALVINGS + 1):
+        for halvings in range(1, MAX_HALVINGS + 1):
             yield replace(report, loads=self._busiest(len(self.loads) >> halvings))
         for rest in (
             {"loads": {}},
@@ -184,9 +184,9 @@
         """Decode a datagram; raise `InvalidReportError` if it isn't a report."""
         try:
             fields = orjson.loads(data)
-            members, loads, leaving, departed, outcomes = fields[PLAIN_FIELDS:-4]
+            members, loads, leaving, departed, outcomes = fields[SCALAR_FIELD_COUNT:-4]
             cold, drained, lengths, rate_limits = fields[-4:]
-            host, data_hall, incarnation, *numbers = fields[:PLAIN_FIELDS]
+            host, data_hall, incarnation, *numbers = fields[:SCALAR_FIELD_COUNT]
             number, version, revision, fingerprint = map(int, numbers[:4])
             return cls(
                 str(host),
@@ -198,13 +198,13 @@
                 fingerprint,
                 bool(numbers[4]),
                 bool(numbers[5]),
-                StoreSign(float(numbers[6]), bool(numbers[7])),
+                StoreLiveness(float(numbers[6]), bool(numbers[7])),
                 float(numbers[8]),
                 tuple(map(str, members)),
                 {k: EndpointLoad(*map(int, v)) for k, v in loads.items()},
                 {k: tuple(map(_note, notes)) for k, notes in leaving.items()},
-                tuple(DepartureNote(str(i), *map(bool, how)) for i, *how in departed),
-                {k: Outcomes(*map(int, v)) for k, v in outcomes.items()},
+                tuple(DepartureReport(str(i), *map(bool, how)) for i, *how in departed),
+                {k: OutcomeCounts(*map(int, v)) for k, v in outcomes.items()},
                 {k: _amount(v) for k, v in cold.items()},
                 None if drained is None else _drained(drained),
                 {k: LengthSums(*map(_amount, v)) for k, v in lengths.items()},
@@ -220,16 +220,16 @@
             raise InvalidReportError(f"not a report: {error!r}") from error
 
 
-def _note(fields: list) -> StreamNote:
+def _note(fields: list) -> StreamReport:
     request, held_tokens, *flags = fields
-    if len(flags) != NOTE_FLAGS:
+    if len(flags) != STREAM_FLAG_COUNT:
         raise ValueError("a stream has the wrong number of flags")
-    return StreamNote(str(request), int(held_tokens), *map(bool, flags))
+    return StreamReport(str(request), int(held_tokens), *map(bool, flags))
 
 
 def _amount(value: object) -> float:
     amount = float(value)
-    if not 0 <= amount < LARGEST_AMOUNT:
+    if not 0 <= amount < MAX_AMOUNT:
         raise ValueError(f"{value!r} is not a valid amount")
     return amount
 
--- a/src/piershore/core/fleet/peer_table.py
+++ b/src/piershore/core/fleet/peer_table.py
@@ -5,15 +5,15 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from piershore.core.fleet.load_note import LoadNote
+from piershore.core.fleet.load_update import LoadUpdate
 from piershore.core.fleet.peer_report import PeerReport
-from piershore.core.fleet.report_pace import silent_after
+from piershore.core.fleet.report_timing import peer_timeout
 
-FORGET_SECONDS = 30.0
+PEER_EXPIRY_SECONDS = 30.0
 """A peer that was silent for this long gets no more reports, unless it is a seed."""
-SILENT_CALL_EVERY = 10
+SILENT_PEER_ROUND_INTERVAL = 10
 """A silent peer only gets every tenth report."""
-MOST_MEMBERS_TOLD = 40
+MAX_MEMBERS_PER_REPORT = 40
 """Maximum hosts named in one report, so that it fits into one packet."""
 
 
@@ -23,7 +23,7 @@
 
     host: str
     known_since: float
-    heard_at: float = float("-inf")
+    report_received_at: float = float("-inf")
     report: PeerReport | None = None
 
 
@@ -38,7 +38,7 @@
     def __len__(self) -> int:
         return len(self._peers)
 
-    def take(self, report: PeerReport, now: float) -> bool:
+    def apply_report(self, report: PeerReport, now: float) -> bool:
         """Apply a report; return False if it is outdated or repeated."""
         if report.host == self._own_host:
             return False
@@ -53,10 +53,10 @@
         ):
             return False
         peer.report = report
-        peer.heard_at = now
+        peer.report_received_at = now
         return True
 
-    def is_newer(self, note: LoadNote) -> bool:
+    def is_newer(self, note: LoadUpdate) -> bool:
         """Return whether an update is newer than its gateway's last report."""
         peer = self._peers.get(note.host)
         if peer is None or peer.report is None:
@@ -64,26 +64,28 @@
         last = peer.report
         return last.incarnation == note.incarnation and last.number < note.number
 
-    def living(self, now: float) -> list[Peer]:
+    def live_peers(self, now: float) -> list[Peer]:
         """Return the peers whose last report is recent."""
-        silent = silent_after(len(self._peers))
-        return [p for p in self._peers.values() if now - p.heard_at < silent]
+        silent = peer_timeout(len(self._peers))
+        return [p for p in self._peers.values() if now - p.report_received_at < silent]
 
     def members(self, now: float) -> tuple[str, ...]:
         """Return the hosts to name in a report."""
-        return tuple(peer.host for peer in self.living(now))[:MOST_MEMBERS_TOLD]
+        return tuple(peer.host for peer in self.live_peers(now))[
+            :MAX_MEMBERS_PER_REPORT
+        ]
 
-    def to_call(self, round_number: int, now: float) -> Iterator[str]:
+    def report_targets(self, round_number: int, now: float) -> Iterator[str]:
         """Yield the hosts that get the report of this round; drop expired peers."""
-        silent = silent_after(len(self._peers))
+        silent = peer_timeout(len(self._peers))
         for peer in list(self._peers.values()):
-            if now - peer.heard_at < silent:
+            if now - peer.report_received_at < silent:
                 yield peer.host
                 continue
-            known = max(peer.heard_at, peer.known_since)
-            if peer.host not in self._seeds and now - known > FORGET_SECONDS:
+            known = max(peer.report_received_at, peer.known_since)
+            if peer.host not in self._seeds and now - known > PEER_EXPIRY_SECONDS:
                 del self._peers[peer.host]
-            elif round_number % SILENT_CALL_EVERY == 0:
+            elif round_number % SILENT_PEER_ROUND_INTERVAL == 0:
                 yield peer.host
 
     def _meet(self, host: str, now: float) -> Peer:
--- a/src/piershore/core/fleet/placement.py
+++ b/src/piershore/core/fleet/placement.py
@@ -7,8 +7,8 @@
 from heapq import nsmallest
 from random import Random
 
-from piershore.core.fleet.asked_rests import AskedRests
 from piershore.core.fleet.cold_starts import ColdStarts
+from piershore.core.fleet.data_hall_stalls import DataHallStalls
 from piershore.core.fleet.endpoint import Endpoint
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
 from piershore.core.fleet.endpoint_health import EndpointHealth
@@ -16,13 +16,13 @@
 from piershore.core.fleet.endpoint_rate_limits import EndpointRateLimits
 from piershore.core.fleet.fleet_load import FleetLoad
 from piershore.core.fleet.generation_work import GenerationWork
-from piershore.core.fleet.hall_stalls import HallStalls
 from piershore.core.fleet.placement_policy import PlacementPolicy
+from piershore.core.fleet.requested_backoffs import RequestedBackoffs
 from piershore.core.fleet.subsetting import EndpointSubsets
 from piershore.core.mechanism import Mechanism
 from piershore.core.routes.service_spec import EngineSpec
 
-REMOTE_HALL_COST = 0.02
+REMOTE_DATA_HALL_COST = 0.02
 """Fraction of an endpoint's load. It only decides between about equal endpoints."""
 FAILURE_COST = 4.0
 """Cost of an endpoint whose attempts all fail, in full loads of an endpoint."""
@@ -30,11 +30,11 @@
 """Random spread among equal endpoints: gateways don't all choose the same one."""
 
 
-MOST_COMPARED = 64
+MAX_COMPARED_ENDPOINTS = 64
 """Endpoints compared when choosing among all: the best of a random sample of this size
 is among the best 60th of all, and the time of a choice doesn't grow with the fleet. The
 others are only considered if none of the sample is healthy."""
-MOST_OTHERS = 3
+MAX_LOGGED_ALTERNATIVES = 3
 """Next best endpoints that the log names beside the chosen one, to explain it."""
 
 
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class Choice:
+class PlacementDecision:
     """The cheapest endpoint, and why the others were not chosen.
 
     `others` are the next best. `ejected` are the identities that were left out because
@@ -86,10 +86,10 @@
         health: EndpointHealth,
         random: Random,
         policy: PlacementPolicy,
-        stalls: HallStalls,
+        stalls: DataHallStalls,
         subsets: EndpointSubsets,
         cold: ColdStarts,
-        rests: AskedRests,
+        rests: RequestedBackoffs,
         limits: EndpointRateLimits,
         disabled: frozenset[Mechanism] = frozenset(),
     ) -> None:
@@ -108,11 +108,13 @@
         self._counts_stalls = Mechanism.STALL_COST not in disabled
         self._ejects = Mechanism.EJECTION not in disabled
         self._failure_cost = _cost(FAILURE_COST, Mechanism.FAILURE_COST, disabled)
-        self._remote_cost = _cost(REMOTE_HALL_COST, Mechanism.HALL_PREFERENCE, disabled)
+        self._remote_cost = _cost(
+            REMOTE_DATA_HALL_COST, Mechanism.HALL_PREFERENCE, disabled
+        )
 
     def for_call(
         self, service: str, now: float, excluded: Collection[str] = ()
-    ) -> Choice | None:
+    ) -> PlacementDecision | None:
         """Return the decision for a plain request, or None without an endpoint."""
         endpoints = self._directory.of_service(service)
         return self._cheapest(endpoints, now, excluded, self._call_cost, _all)
@@ -126,7 +128,7 @@
         excluded: Collection[str] = (),
         *,
         anywhere: bool = False,
-    ) -> Choice | None:
+    ) -> PlacementDecision | None:
         """Return the decision for a generation, or None without an endpoint.
 
         Choose from this gateway's subset, or from all endpoints if none of the subset
@@ -143,32 +145,37 @@
                 endpoints = subset
         return self._cheapest(endpoints, now, excluded, cost, self._policy.sample)
 
-    def sound_of(self, service: str, now: float) -> Iterator[Endpoint]:
+    def available_endpoints(self, service: str, now: float) -> Iterator[Endpoint]:
         """Yield the endpoints of a service that are healthy and accept work now."""
         for endpoint in self._directory.of_service(service):
-            if self._is_sound(endpoint, now) and not self.seconds_left(endpoint, now):
+            if self._is_sound(endpoint, now) and not self.seconds_until_available(
+                endpoint, now
+            ):
                 yield endpoint
 
-    def seconds_left(self, endpoint: Endpoint, now: float) -> float:
+    def seconds_until_available(self, endpoint: Endpoint, now: float) -> float:
         """Return the seconds until an endpoint accepts work from this gateway.
 
         0 means now, inf that the endpoint's rate limit leaves this gateway no quota.
         """
-        rest = self._rests.left(endpoint.identity, now)
+        rest = self._rests.seconds_left(endpoint.identity, now)
         return max(rest, self._limits.seconds_until_free(endpoint, now))
 
-    def service_seconds_left(self, service: str, now: float) -> float | None:
+    def seconds_until_any_available(self, service: str, now: float) -> float | None:
         """Return the seconds until any endpoint of a service accepts work.
 
         None means that one accepts work now, or that the service has no endpoints.
         """
         endpoints = self._directory.of_service(service)
-        return min((self.seconds_left(e, now) for e in endpoints), default=0) or None
+        return (
+            min((self.seconds_until_available(e, now) for e in endpoints), default=0)
+            or None
+        )
 
     def limited_rate(self, service: str) -> float:
         """Return the requests per second this gateway may send to limited endpoints."""
         return sum(
-            self._limits.own_rate(endpoint)
+            self._limits.gateway_rate(endpoint)
             for endpoint in self._directory.of_service(service)
             if self._limits.is_limited(endpoint.identity)
         )
@@ -182,7 +189,9 @@
         quota is used up.
         """
         for endpoint in endpoints:
-            if endpoint.identity in excluded or self.seconds_left(endpoint, now):
+            if endpoint.identity in excluded or self.seconds_until_available(
+                endpoint, now
+            ):
                 continue
             if self._cold.may_send(endpoint, now):
                 yield endpoint
@@ -190,34 +199,38 @@
     def _is_sound(self, endpoint: Endpoint, now: float) -> bool:
         return not (self._ejects and self._health.is_ejected(endpoint.identity, now))
 
-    def _cheapest(self, endpoints, now, excluded, cost, sample) -> Choice | None:
+    def _cheapest(
+        self, endpoints, now, excluded, cost, sample
+    ) -> PlacementDecision | None:
         """Return the cheapest candidate; consider ejected endpoints only if all are."""
         compared = endpoints
-        if len(endpoints) > MOST_COMPARED:
-            compared = self._random.sample(endpoints, MOST_COMPARED)
+        if len(endpoints) > MAX_COMPARED_ENDPOINTS:
+            compared = self._random.sample(endpoints, MAX_COMPARED_ENDPOINTS)
         able = list(self._able(compared, now, excluded))
         sound = [e for e in able if self._is_sound(e, now)]
         if not sound and len(compared) < len(endpoints):
             able = list(self._able(endpoints, now, excluded))
             sound = [e for e in able if self._is_sound(e, now)]
-            sound = self._random.sample(sound, min(len(sound), MOST_COMPARED))
+            sound = self._random.sample(sound, min(len(sound), MAX_COMPARED_ENDPOINTS))
         sampled = sample(sound or able, self._random)
         candidates = (self._candidate(endpoint, cost) for endpoint in sampled)
-        ranked = nsmallest(1 + MOST_OTHERS, candidates, key=lambda c: c.cost)
+        ranked = nsmallest(
+            1 + MAX_LOGGED_ALTERNATIVES, candidates, key=lambda c: c.cost
+        )
         if not ranked:
             return None
         best, *others = ranked
         ejected = {e.identity for e in able} - {e.identity for e in sound}
         view_age = self._fleet_load.view_age(now)
         resting = [
-            e.identity for e in compared if self._rests.is_resting(e.identity, now)
+            e.identity for e in compared if self._rests.is_active(e.identity, now)
         ]
-        return Choice(
+        return PlacementDecision(
             best,
             tuple(others),
             tuple(sorted(ejected)),
             tuple(sorted(resting)),
-            tuple(sorted(self._limits.used_up(compared, now))),
+            tuple(sorted(self._limits.exhausted(compared, now))),
             view_age,
         )
 
--- a/src/piershore/core/fleet/placement_policy.py
+++ b/src/piershore/core/fleet/placement_policy.py
@@ -11,12 +11,12 @@
 from piershore.core.fleet.generation_work import GenerationWork
 from piershore.core.routes.service_spec import EngineSpec
 
-UNREAD_COST_TOKENS = 6_000.0
+PENDING_PROMPT_COST_TOKENS = 6_000.0
 """Pending prompt tokens that cost as much as a full endpoint: 0.4 s of prompt
 processing, a quarter of the shortest target latency of a first token in use."""
 BATCH_COST = 0.5
 """Cost of a full batch relative to full memory: a batch only slows tokens down."""
-CHOICES_OF_TWO = 2
+POWER_OF_TWO_SAMPLE_SIZE = 2
 
 
 class PlacementPolicy(ABC):
@@ -59,7 +59,7 @@
         """Return how full the engine would become."""
         wanted = work.held_tokens + work.remaining_tokens
         memory = (load.projected_tokens + wanted) / engine.memory_tokens
-        unread = load.unread_tokens / UNREAD_COST_TOKENS
+        unread = load.pending_prompt_tokens / PENDING_PROMPT_COST_TOKENS
         return memory + BATCH_COST * _batch_share(load, engine) + unread
 
 
@@ -80,7 +80,7 @@
 
     def sample(self, endpoints: Sequence[Endpoint], random: Random) -> list[Endpoint]:
         """Return two engines at random, or all if there are fewer."""
-        return random.sample(endpoints, min(CHOICES_OF_TWO, len(endpoints)))
+        return random.sample(endpoints, min(POWER_OF_TWO_SAMPLE_SIZE, len(endpoints)))
 
 
 @placement_policy("memory_free_now")
--- a/src/piershore/core/fleet/rate_shares.py
+++ b/src/piershore/core/fleet/rate_shares.py
@@ -22,7 +22,7 @@
     rank: int
     gateways: int
 
-    def part(self, requests: int) -> int:
+    def quota(self, requests: int) -> int:
         """Return how many of the requests this gateway may send.
 
         The quotas of all ranks add up to `requests`.
--- a/src/piershore/core/fleet/report_pace.py
+++ b/src/piershore/core/fleet/report_timing.py
@@ -6,25 +6,25 @@
 
 from __future__ import annotations
 
-SHORTEST_INTERVAL_SECONDS = 0.1
+MIN_REPORT_INTERVAL_SECONDS = 0.1
 """Interval of regular reports to a peer in a small fleet."""
 REPORTS_A_SECOND = 60.0
 """Regular reports that one gateway sends to all peers together. Changes that affect the
 placements of peers are sent at once, without waiting for the next report."""
-SHORTEST_SILENCE_SECONDS = 2.0
+MIN_PEER_TIMEOUT_SECONDS = 2.0
 """A peer that sent no report for this long doesn't count as live."""
-MISSED_REPORTS = 4.0
+MISSED_REPORTS_BEFORE_TIMEOUT = 4.0
 """In a large fleet, consecutive reports that must be missing before a peer is silent:
 single reports get lost, and a peer whose share of the budgets is dropped too early is
 counted twice when it returns."""
 
 
-SHORTEST_GAP_SECONDS = 0.012
+MIN_TRIGGERED_INTERVAL_SECONDS = 0.012
 """Changes within this time are sent together."""
-NEWS_A_SECOND = 1_200.0
+MAX_TRIGGERED_REPORTS_PER_SECOND = 1_200.0
 """Reports that one gateway sends to all peers because of failures: without a bound,
 each of many simultaneous failures would cost a datagram to every other gateway."""
-PASSED_ON_BY = 12.0
+EXPECTED_FORWARDERS = 12.0
 """Mean number of gateways that forward a departure they received: a few senders make up
 for lost reports. If all gateways forwarded it, each departure would cost a datagram for
 every pair of gateways."""
@@ -32,19 +32,21 @@
 
 def report_interval(peers: int) -> float:
     """Return the seconds between regular reports to each of `peers` peers."""
-    return max(SHORTEST_INTERVAL_SECONDS, peers / REPORTS_A_SECOND)
+    return max(MIN_REPORT_INTERVAL_SECONDS, peers / REPORTS_A_SECOND)
 
 
-def news_gap(peers: int) -> float:
+def triggered_report_interval(peers: int) -> float:
     """Return the minimum seconds between reports that failures trigger."""
-    return max(SHORTEST_GAP_SECONDS, peers / NEWS_A_SECOND)
+    return max(MIN_TRIGGERED_INTERVAL_SECONDS, peers / MAX_TRIGGERED_REPORTS_PER_SECOND)
 
 
-def passes_on(peers: int, draw: float) -> bool:
+def should_forward(peers: int, draw: float) -> bool:
     """Return whether to forward a departure; `draw` is random, from 0 to below 1."""
-    return draw * peers < PASSED_ON_BY
+    return draw * peers < EXPECTED_FORWARDERS
 
 
-def silent_after(peers: int) -> float:
+def peer_timeout(peers: int) -> float:
     """Return the seconds without a report after which a peer counts as silent."""
-    return max(SHORTEST_SILENCE_SECONDS, MISSED_REPORTS * report_interval(peers))
+    return max(
+        MIN_PEER_TIMEOUT_SECONDS, MISSED_REPORTS_BEFORE_TIMEOUT * report_interval(peers)
+    )
--- a/src/piershore/core/fleet/asked_rests.py
+++ b/src/piershore/core/fleet/requested_backoffs.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from piershore.core.routing.rest import Rest
+from piershore.core.routing.backoff import Backoff
 
 
-class AskedRests:
+class RequestedBackoffs:
     """Requested backoffs by endpoint identity.
 
     An endpoint that refuses all work within milliseconds looks like the least loaded
@@ -18,26 +18,26 @@
     """
 
     def __init__(self) -> None:
-        self._rests: dict[str, Rest] = {}
+        self._rests: dict[str, Backoff] = {}
 
     def __len__(self) -> int:
         return len(self._rests)
 
-    def note(self, identity: str, seconds: float, now: float) -> None:
+    def record(self, identity: str, seconds: float, now: float) -> None:
         """Record that an endpoint requests a backoff of some seconds."""
-        self.forget_ended(now)
-        self._rests.setdefault(identity, Rest()).note(seconds, now)
+        self.drop_expired(now)
+        self._rests.setdefault(identity, Backoff()).extend(seconds, now)
 
-    def is_resting(self, identity: str, now: float) -> bool:
+    def is_active(self, identity: str, now: float) -> bool:
         """Return whether a backoff that the endpoint requested is in force."""
-        return self.left(identity, now) > 0
+        return self.seconds_left(identity, now) > 0
 
-    def left(self, identity: str, now: float) -> float:
+    def seconds_left(self, identity: str, now: float) -> float:
         """Return the seconds until an endpoint's backoff ends, 0 if there is none."""
         rest = self._rests.get(identity)
         return rest.seconds_left(now) if rest else 0.0
 
-    def forget_ended(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop the backoffs that are over."""
         ended = [i for i, rest in self._rests.items() if not rest.seconds_left(now)]
         for identity in ended:
--- a/src/piershore/core/fleet/shared_failures.py
+++ b/src/piershore/core/fleet/shared_failures.py
@@ -16,11 +16,11 @@
 WINDOW_SECONDS = 0.7
 """Age of the outcomes that count. Successes from before a fault hide it: with 2 s the
 fleet reacted only 1.7 s after an endpoint with 20 calls a second began to fail."""
-MOST_KEPT = 64
+MAX_OUTCOMES = 64
 """Outcomes that are kept for one endpoint, enough to estimate a ratio."""
-LEAST_FAILURES = 4
+MIN_FAILURES = 4
 """Failures that are unlikely to be chance: one more than a single gateway needs."""
-MOST_TOLD = 32
+MAX_REPORTED_ENDPOINTS = 32
 """Endpoints in one report, so that it fits a packet when many endpoints fail."""
 FAILING_SHARE = 0.6
 """An endpoint counts as failing from this share of failures on. At some services 14 of
@@ -28,26 +28,26 @@
 
 
 @dataclass(frozen=True)
-class Outcomes:
+class OutcomeCounts:
     """Attempts within the window, by outcome."""
 
     failures: int = 0
     successes: int = 0
 
-    def __add__(self, other: Outcomes) -> Outcomes:
-        return Outcomes(
+    def __add__(self, other: OutcomeCounts) -> OutcomeCounts:
+        return OutcomeCounts(
             self.failures + other.failures, self.successes + other.successes
         )
 
     @property
     def are_failing(self) -> bool:
         """Whether these counts show that the endpoint fails."""
-        if self.failures < LEAST_FAILURES:
+        if self.failures < MIN_FAILURES:
             return False
         return self.failures >= FAILING_SHARE * (self.failures + self.successes)
 
 
-NO_OUTCOMES = Outcomes()
+NO_COUNTS = OutcomeCounts()
 
 
 class SharedFailures:
@@ -55,15 +55,15 @@
 
     def __init__(self) -> None:
         self._own: dict[str, deque[tuple[float, bool]]] = {}
-        self._peers: dict[str, tuple[float, Mapping[str, Outcomes]]] = {}
+        self._peers: dict[str, tuple[float, Mapping[str, OutcomeCounts]]] = {}
 
-    def note(self, identity: str, now: float, *, failed: bool) -> None:
+    def record(self, identity: str, now: float, *, failed: bool) -> None:
         """Record the outcome of an attempt by this gateway."""
-        outcomes = self._own.setdefault(identity, deque(maxlen=MOST_KEPT))
+        outcomes = self._own.setdefault(identity, deque(maxlen=MAX_OUTCOMES))
         outcomes.append((now, failed))
 
-    def take_report(
-        self, peer: str, outcomes: Mapping[str, Outcomes], now: float
+    def apply_report(
+        self, peer: str, outcomes: Mapping[str, OutcomeCounts], now: float
     ) -> None:
         """Replace the last report of a peer."""
         if outcomes:
@@ -71,7 +71,7 @@
         else:
             self._peers.pop(peer, None)
 
-    def report(self, now: float) -> dict[str, Outcomes]:
+    def report(self, now: float) -> dict[str, OutcomeCounts]:
         """Return this gateway's outcomes at endpoints with recent failures.
 
         Successes are reported too where only peers have failures: these may be due to
@@ -85,24 +85,24 @@
             for identity, count in counts.items()
             if count.failures or identity in told
         )
-        return dict(nlargest(MOST_TOLD, tellable, key=_failures))
+        return dict(nlargest(MAX_REPORTED_ENDPOINTS, tellable, key=_failures))
 
-    def are_failing(self, identity: str, now: float) -> bool:
+    def is_failing(self, identity: str, now: float) -> bool:
         """Return whether the fleet's outcomes show that an endpoint fails."""
         start = now - WINDOW_SECONDS
         self._forget_outcomes(identity, start)
         told = (report for at, report in self._peers.values() if at >= start)
-        counts = (report.get(identity, NO_OUTCOMES) for report in told)
+        counts = (report.get(identity, NO_COUNTS) for report in told)
         return sum(counts, self._count(identity)).are_failing
 
     def forget(self, identity: str) -> None:
         """Drop this gateway's outcomes at an endpoint that was removed."""
         self._own.pop(identity, None)
 
-    def _count(self, identity: str) -> Outcomes:
+    def _count(self, identity: str) -> OutcomeCounts:
         outcomes = self._own.get(identity, ())
         failures = sum(failed for _, failed in outcomes)
-        return Outcomes(failures, len(outcomes) - failures)
+        return OutcomeCounts(failures, len(outcomes) - failures)
 
     def _forget(self, now: float) -> None:
         start = now - WINDOW_SECONDS
@@ -122,5 +122,5 @@
             del self._own[identity]
 
 
-def _failures(item: tuple[str, Outcomes]) -> int:
+def _failures(item: tuple[str, OutcomeCounts]) -> int:
     return item[1].failures
--- a/src/piershore/core/fleet/store_era.py
+++ b/src/piershore/core/fleet/store_era.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from piershore.core.fleet.store_revision import LARGEST_ERA
+from piershore.core.fleet.store_revision import MAX_ERA
 
-MOST_DIGITS = 20
+MAX_ERA_DIGITS = 20
 """More digits than any era has. Parsing an integer of over 4,300 digits raises
 ValueError, which stopped the task that follows the store."""
-LONGEST_FALL_SECONDS = 10.0
+MAX_REGRESSION_SECONDS = 10.0
 """Responses of an earlier era are delayed, or come from a lagging replica. If they
 continue for this long, the higher era was wrong: a gateway that went on ignoring all
 responses of the lower era would lose the store permanently."""
@@ -27,7 +27,7 @@
         """The era; 0 until a response carries one."""
         return self._value
 
-    def take(self, text: str | None, now: float) -> bool:
+    def observe(self, text: str | None, now: float) -> bool:
         """Update the era from a response; return False if the response is outdated.
 
         A missing or invalid era leaves the known one in force. A response of an earlier
@@ -38,7 +38,7 @@
             self._note("a response carries no era" if self._value else "")
             return True
         if not _is_era(text):
-            self._note(f"{text[:MOST_DIGITS]!r} is not a valid era")
+            self._note(f"{text[:MAX_ERA_DIGITS]!r} is not a valid era")
             return True
         era = int(text)
         if era < self._value:
@@ -58,7 +58,7 @@
     def _falls_for_long(self, now: float) -> bool:
         if self._fell_at is None:
             self._fell_at = now
-        return now - self._fell_at > LONGEST_FALL_SECONDS
+        return now - self._fell_at > MAX_REGRESSION_SECONDS
 
     def _note(self, finding: str) -> None:
         if finding and finding != self._told:
@@ -66,5 +66,5 @@
 
 
 def _is_era(text: str) -> bool:
-    is_number = text.isascii() and text.isdigit() and len(text) <= MOST_DIGITS
-    return is_number and int(text) <= LARGEST_ERA
+    is_number = text.isascii() and text.isdigit() and len(text) <= MAX_ERA_DIGITS
+    return is_number and int(text) <= MAX_ERA
--- a/src/piershore/core/fleet/store_revision.py
+++ b/src/piershore/core/fleet/store_revision.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 NUMBER_BITS = 40
-LARGEST_ERA = 2 ** (63 - NUMBER_BITS) - 1
+MAX_ERA = 2 ** (63 - NUMBER_BITS) - 1
 """Era and revision together fit a signed 64-bit integer, as codecs need. At 1,000
 changes a second the revision numbers of one era last for 34 years."""
 
--- a/src/piershore/core/fleet/store_silence.py
+++ b/src/piershore/core/fleet/store_silence.py
@@ -21,14 +21,14 @@
 
 
 @dataclass(frozen=True)
-class StoreSign:
+class StoreLiveness:
     """A gateway's seconds since the store's last answer, and whether one is overdue."""
 
     answer_age: float
     is_overdue: bool
 
 
-def seems_silent(signs: Iterable[StoreSign]) -> bool:
+def is_store_silent(signs: Iterable[StoreLiveness]) -> bool:
     """Return whether the store answers no gateway, given what each has observed."""
     signs = list(signs)
     if not any(sign.is_overdue for sign in signs):
--- a/src/piershore/core/fleet/subsetting.py
+++ b/src/piershore/core/fleet/subsetting.py
@@ -24,18 +24,18 @@
 
 SUBSET_SIZE = 12
 """Endpoints that a gateway chooses from; each more costs one message per start."""
-LEAST_SHARERS = 2
+MIN_GATEWAYS_PER_ENDPOINT = 2
 """Minimum gateways that choose from each endpoint: with a single gateway, an endpoint
 would be idle whenever that gateway has no callers."""
 
 
 def subset_width(gateways: int, endpoints: int) -> int:
     """Return how many of the endpoints each gateway chooses from."""
-    wanted = max(SUBSET_SIZE, ceil(LEAST_SHARERS * endpoints / gateways))
+    wanted = max(SUBSET_SIZE, ceil(MIN_GATEWAYS_PER_ENDPOINT * endpoints / gateways))
     return min(endpoints, wanted)
 
 
-def subset_places(rank: int, gateways: int, endpoints: int) -> Iterator[int]:
+def subset_positions(rank: int, gateways: int, endpoints: int) -> Iterator[int]:
     """Yield the positions on the ring of endpoints in the subset of a gateway's rank.
 
     Subsets start at even distances, so each endpoint is in about as many as any other.
@@ -90,7 +90,7 @@
     @property
     def view(self) -> SubsetView:
         """What the subsets are computed from; a change makes it unequal to before."""
-        return SubsetView(self._hosts, self._directory.selection)
+        return SubsetView(self._hosts, self._directory.placeable_version)
 
     @property
     def peers(self) -> list[str]:
@@ -102,7 +102,7 @@
         ring = self._ring(service)
         if not ring:
             return []
-        places = subset_places(self._own_rank, len(self._hosts), len(ring))
+        places = subset_positions(self._own_rank, len(self._hosts), len(ring))
         return [ring[place] for place in places]
 
     def sharing_peers(self, endpoint: Endpoint) -> Iterator[str]:
@@ -117,8 +117,8 @@
 
     def _ring(self, service: str) -> list[Endpoint]:
         """Return a service's listed endpoints in the order that all gateways use."""
-        if self._selection != self._directory.selection:
-            self._selection = self._directory.selection
+        if self._selection != self._directory.placeable_version:
+            self._selection = self._directory.placeable_version
             self._rings.clear()
             self._places.clear()
         ring = self._rings.get(service)
--- a/src/piershore/core/fleet/watchers.py
+++ b/src/piershore/core/fleet/watchers.py
@@ -17,7 +17,7 @@
 
 from piershore.core.configuration.relays import relays_of
 
-LEAST_WATCHERS = 2
+MIN_WATCHERS = 2
 """Watchers with access to the store that make a gateway's own watch unnecessary."""
 WIDE_SHARE = 0.5
 """Links with at least this share of the fastest link's bandwidth in the data hall are
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class WatcherView:
+class WatchCandidate:
     """A living gateway; `reads_store` if the store answers its own watch."""
 
     host: str
@@ -34,20 +34,20 @@
     link_megabits: float
 
 
-def watches_store(own: WatcherView, peers: Iterable[WatcherView]) -> bool:
+def should_watch_store(own: WatchCandidate, peers: Iterable[WatchCandidate]) -> bool:
     """Return whether the gateway `own` should watch the store itself."""
     peers = list(peers)
-    halls: dict[str, list[WatcherView]] = {}
+    halls: dict[str, list[WatchCandidate]] = {}
     for gateway in (own, *peers):
         halls.setdefault(gateway.data_hall, []).append(gateway)
     relays = {host for hall, group in halls.items() for host in _relays(hall, group)}
     if own.host in relays:
         return True
     heard = sum(peer.reads_store for peer in peers if peer.host in relays)
-    return heard < LEAST_WATCHERS
+    return heard < MIN_WATCHERS
 
 
-def _relays(data_hall: str, gateways: list[WatcherView]) -> list[str]:
+def _relays(data_hall: str, gateways: list[WatchCandidate]) -> list[str]:
     widest = max(gateway.link_megabits for gateway in gateways)
     wide = {g.host for g in gateways if g.link_megabits >= WIDE_SHARE * widest}
     return relays_of(data_hall, (g.host for g in gateways), preferred=wide)
--- a/src/piershore/core/limits/account_limiter.py
+++ b/src/piershore/core/limits/account_limiter.py
@@ -58,10 +58,12 @@
             if usage.running >= allowed:
                 return LimitRefusal(RefusalReason.CONCURRENCY_LIMITED, 1.0)
         if limits.requests_per_second is not None:
-            wait = usage.bucket.seconds_left(limits.requests_per_second * self._share)
+            wait = usage.bucket.seconds_until_available(
+                limits.requests_per_second * self._share
+            )
             if wait:
                 return LimitRefusal(RefusalReason.RATE_LIMITED, wait)
-            usage.bucket.take()
+            usage.bucket.consume()
         usage.running += 1
         return None
 
--- a/src/piershore/core/limits/endpoint_rate.py
+++ b/src/piershore/core/limits/endpoint_rate_limiter.py
@@ -4,16 +4,16 @@
 
 from piershore.core.limits.token_bucket import TokenBucket
 
-CROSSING_SECONDS = 0.5
+MAX_REORDERING_SECONDS = 0.5
 """Time by which answers may overtake each other. An answer without a rate limit ends a
 limit only if it arrives this long after the last answer that advertised it."""
-LOWEST_RATE = 0.1
+MIN_REQUESTS_PER_SECOND = 0.1
 """Minimum rate of requests, also if an endpoint advertises a lower limit or zero: only
 answers to requests can show that the limit has changed."""
 BURST_SECONDS = 1.0
 
 
-class EndpointRate:
+class EndpointRateLimiter:
     """Permits for requests; without a limit a permit is always available."""
 
     def __init__(self) -> None:
@@ -27,25 +27,25 @@
         `rate` is None if the answer advertises no limit.
         """
         if rate is None:
-            if now - self._named_at >= CROSSING_SECONDS:
+            if now - self._named_at >= MAX_REORDERING_SECONDS:
                 self._rate = None
             return
-        rate = max(rate, LOWEST_RATE)
+        rate = max(rate, MIN_REQUESTS_PER_SECOND)
         if self._rate is None:
             self._bucket = TokenBucket(1.0, now)
         else:
             self._refill(now)
         self._rate, self._named_at = rate, now
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take a permit if one is available; return whether it was."""
-        if self.seconds_left(now):
+        if self.seconds_until_available(now):
             return False
         if self._rate is not None:
-            self._bucket.take()
+            self._bucket.consume()
         return True
 
-    def seconds_left(self, now: float, waiting: int = 0) -> float:
+    def seconds_until_available(self, now: float, waiting: int = 0) -> float:
         """Return the seconds until a permit is available for a request.
 
         The request is preceded by `waiting` others; 0 means now.
@@ -53,7 +53,7 @@
         if self._rate is None:
             return 0.0
         self._refill(now)
-        return self._bucket.seconds_left(self._rate) + waiting / self._rate
+        return self._bucket.seconds_until_available(self._rate) + waiting / self._rate
 
     def _refill(self, now: float) -> None:
         burst = max(1.0, self._rate * BURST_SECONDS)
--- a/src/piershore/core/limits/return_schedule.py
+++ b/src/piershore/core/limits/retry_schedule.py
@@ -10,17 +10,17 @@
 
 from math import isinf
 
-LONGEST_SECONDS = 30.0
+MAX_RETRY_AFTER_SECONDS = 30.0
 """Upper bound of retry times: a rate rarely stays this low for longer."""
 
 
-class ReturnSchedule:
+class RetrySchedule:
     """Assigns retry times for one service; times are in seconds."""
 
     def __init__(self) -> None:
         self._last_place = float("-inf")
 
-    def book(self, first: float, rate: float, now: float) -> float:
+    def reserve(self, first: float, rate: float, now: float) -> float:
         """Reserve the next free retry time; return the seconds until then.
 
         `first` is the number of seconds until the first request is accepted, or inf if
@@ -28,6 +28,8 @@
         """
         gap = 1 / rate
         first = gap if isinf(first) else first
-        place = min(max(now + first, self._last_place + gap), now + LONGEST_SECONDS)
+        place = min(
+            max(now + first, self._last_place + gap), now + MAX_RETRY_AFTER_SECONDS
+        )
         self._last_place = place
         return place - now
--- a/src/piershore/core/limits/token_bucket.py
+++ b/src/piershore/core/limits/token_bucket.py
@@ -16,10 +16,10 @@
         self._saved = min(burst, self._saved + gained)
         self._filled_at = now
 
-    def take(self) -> None:
+    def consume(self) -> None:
         """Consume one permit."""
         self._saved -= 1
 
-    def seconds_left(self, rate: float) -> float:
+    def seconds_until_available(self, rate: float) -> float:
         """Return the seconds from the last refill to the next permit."""
         return max(0.0, (1 - self._saved) / rate)
--- a/src/piershore/core/ownership/interval.py
+++ b/src/piershore/core/ownership/interval.py
@@ -25,7 +25,7 @@
     end: int
     released: bool = False
 
-    def holds(self, mint_time: int) -> bool:
+    def contains(self, mint_time: int) -> bool:
         """Return whether `mint_time` lies in the interval."""
         return self.start < mint_time <= self.end
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class HeldInterval:
+class SlotInterval:
     """An interval with its slot, and the start and slot count of the layout."""
 
     layout_start: int
@@ -47,6 +47,6 @@
     slot: int
     interval: Interval
 
-    def holds(self, mint_time: int, slot: int) -> bool:
+    def contains(self, mint_time: int, slot: int) -> bool:
         """Return whether a key of `mint_time` that hashes to `slot` lies in it."""
-        return slot == self.slot and self.interval.holds(mint_time)
+        return slot == self.slot and self.interval.contains(mint_time)
--- a/src/piershore/core/ownership/key_minter.py
+++ b/src/piershore/core/ownership/key_minter.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterable, Iterator
 from random import Random
 
-from piershore.core.ownership.interval import HeldInterval, Interval
+from piershore.core.ownership.interval import Interval, SlotInterval
 from piershore.core.ownership.minted_key import MintedKey
 
 ATTEMPTS_PER_SLOT = 16
 
 
 def mint_key(
-    reachable: Iterable[HeldInterval], now: int, random: Random
+    reachable: Iterable[SlotInterval], now: int, random: Random
 ) -> MintedKey | None:
     """Return a new key that the owner of a reachable interval may run.
 
@@ -33,11 +33,11 @@
 
 
 def intervals_for(
-    key: MintedKey, known: Iterable[HeldInterval]
-) -> Iterator[HeldInterval]:
+    key: MintedKey, known: Iterable[SlotInterval]
+) -> Iterator[SlotInterval]:
     """Yield the known interval whose owner may run `key`, if there is one."""
     for held in known:
-        if held.holds(key.mint_time, key.slot(held.slot_count)):
+        if held.contains(key.mint_time, key.slot(held.slot_count)):
             yield held
 
 
--- a/src/piershore/core/ownership/slot_owner.py
+++ b/src/piershore/core/ownership/slot_owner.py
@@ -29,7 +29,7 @@
     ReplayAnswer,
     RunKey,
 )
-from piershore.core.ownership.interval import HeldInterval, Interval, Owner
+from piershore.core.ownership.interval import Interval, Owner, SlotInterval
 from piershore.core.ownership.key_minter import intervals_for
 from piershore.core.ownership.minted_key import MintedKey
 from piershore.core.ownership.slot_table import SlotTable
@@ -60,7 +60,7 @@
         self._settings = settings
         self._version = 0
         self._table: SlotTable | None = None
-        self._earlier: tuple[HeldInterval, ...] = ()
+        self._earlier: tuple[SlotInterval, ...] = ()
         self._claims: OrderedDict[str, Claim] = OrderedDict()
         self._mint_times: dict[str, int] = {}
         self._answers: OrderedDict[str, None] = OrderedDict()
@@ -129,7 +129,7 @@
             evicted, _ = self._answers.popitem(last=False)
             self._claims[evicted] = Claim(ClaimState.DONE)
 
-    def abandon(self, key: MintedKey) -> None:
+    def mark_unknown(self, key: MintedKey) -> None:
         """Record that it is unknown whether the key ran."""
         self._claims[key.text] = Claim(ClaimState.UNKNOWN)
 
@@ -138,7 +138,7 @@
         self._claims.pop(key.text, None)
         self._mint_times.pop(key.text, None)
 
-    def forget(self, now: int) -> None:
+    def drop_expired_claims(self, now: int) -> None:
         """Drop finished claims older than the retention, and refuse their keys.
 
         While the platform is down, intervals aren't extended and gateways keep minting
@@ -167,7 +167,9 @@
             mark = max(start, self._admitted.get(place, start))
             self._release_marks[place] = mark
 
-    def change(self, table: SlotTable, now: int, members: Collection[str]) -> SlotTable:
+    def update_leases(
+        self, table: SlotTable, now: int, members: Collection[str]
+    ) -> SlotTable:
         """Return `table` with this agent's leases extended, taken or released.
 
         `members` names the endpoints of the service that are assumed live.
@@ -193,10 +195,10 @@
         if self._may_take(table, index, now, members):
             return table.take(index, self._owner, end)
         if slot.wanted_by is None and self._is_preferred(index, members):
-            return table.want(index, self._owner)
+            return table.mark_wanted(index, self._owner)
         return table
 
-    def intervals(self) -> Iterator[HeldInterval]:
+    def intervals(self) -> Iterator[SlotInterval]:
         """Yield this agent's own intervals, truncated where it has released them."""
         for held in self._own_intervals():
             mark = self._release_marks.get((held.layout_start, held.slot))
@@ -204,12 +206,12 @@
                 held = replace(held, interval=held.interval.released_at(mark))
             yield held
 
-    def _own_intervals(self) -> Iterator[HeldInterval]:
+    def _own_intervals(self) -> Iterator[SlotInterval]:
         yield from self._earlier
         if self._table is not None:
             yield from self._table.intervals_of(self._owner)
 
-    def _intervals_up_to(self, end: int) -> Iterator[HeldInterval]:
+    def _intervals_up_to(self, end: int) -> Iterator[SlotInterval]:
         """Yield this agent's own intervals, truncated to the mint times up to `end`."""
         for held in self._own_intervals():
             if held.interval.start < end:
@@ -250,7 +252,7 @@
         place = self._place(key)
         self._admitted[place] = max(self._admitted.get(place, 0), key.mint_time)
 
-    def _earlier_interval(self, key: MintedKey) -> HeldInterval | None:
+    def _earlier_interval(self, key: MintedKey) -> SlotInterval | None:
         return next(intervals_for(key, self._earlier), None)
 
     def _place(self, key: MintedKey) -> tuple[int, int]:
--- a/src/piershore/core/ownership/slot_table.py
+++ b/src/piershore/core/ownership/slot_table.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, replace
 
 from piershore.core.ownership.exceptions import SlotChangeError
-from piershore.core.ownership.interval import HeldInterval, Interval, Owner
+from piershore.core.ownership.interval import Interval, Owner, SlotInterval
 from piershore.core.ownership.minted_key import MintedKey
 
-INTERVALS_KEPT = 6
-LAYOUTS_KEPT = 3
+MAX_INTERVALS = 6
+MAX_LAYOUTS = 3
 
 
 @dataclass(frozen=True)
@@ -35,7 +35,7 @@
 
     def find(self, mint_time: int) -> Interval | None:
         """Return the interval that contains `mint_time`."""
-        return next((i for i in self.intervals if i.holds(mint_time)), None)
+        return next((i for i in self.intervals if i.contains(mint_time)), None)
 
 
 @dataclass(frozen=True)
@@ -82,13 +82,13 @@
             return None
         return layout.slots[key.slot(len(layout.slots))].find(key.mint_time)
 
-    def intervals_of(self, owner: Owner) -> Iterator[HeldInterval]:
+    def intervals_of(self, owner: Owner) -> Iterator[SlotInterval]:
         """Yield all intervals of `owner` with their layouts and slots."""
         for layout in self.layouts:
             for index, slot in enumerate(layout.slots):
                 for interval in slot.intervals:
                     if interval.owner == owner:
-                        yield HeldInterval(
+                        yield SlotInterval(
                             layout.start, len(layout.slots), index, interval
                         )
 
@@ -106,14 +106,14 @@
         if end <= start:
             raise SlotChangeError("the new interval would be empty")
         intervals = (*slot.intervals, Interval(owner, start, end))
-        return self._with_slot(index, Slot(intervals[-INTERVALS_KEPT:]))
+        return self._with_slot(index, Slot(intervals[-MAX_INTERVALS:]))
 
     def release(self, index: int, owner: Owner, end: int) -> SlotTable:
         """Truncate `owner`'s last interval to `end` and release it."""
         last = self._last_owned(index, owner)
         return self._with_last(index, last.released_at(end))
 
-    def want(self, index: int, owner: Owner) -> SlotTable:
+    def mark_wanted(self, index: int, owner: Owner) -> SlotTable:
         """Ask the current owner of a slot to let its lease expire."""
         slot = replace(self.current.slots[index], wanted_by=owner)
         return self._with_slot(index, slot)
@@ -132,7 +132,7 @@
             return replace(self, layouts=(*self.layouts[:-1], same))
         start = self.current.highest_end
         layout = Layout(start, (Slot(),) * slot_count, spec_version)
-        return replace(self, layouts=(*self.layouts, layout)[-LAYOUTS_KEPT:])
+        return replace(self, layouts=(*self.layouts, layout)[-MAX_LAYOUTS:])
 
     def _layout_of(self, mint_time: int) -> Layout | None:
         return next((x for x in reversed(self.layouts) if mint_time > x.start), None)
--- a/src/piershore/core/standstill.py
+++ b/src/piershore/core/process_pause.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-STOOD_STILL_SECONDS = 0.15
+MIN_PAUSE_SECONDS = 0.15
 """A wait that ends this late shows a pause. Timers of a busy process are a few
 milliseconds late."""
 
 
-def stood_still(due: float, now: float) -> bool:
+def was_paused(due: float, now: float) -> bool:
     """Return whether a wait that was due at `due` ended much later, at `now`."""
-    return now - due > STOOD_STILL_SECONDS
+    return now - due > MIN_PAUSE_SECONDS
--- a/src/piershore/core/quarantine/crash_note.py
+++ b/src/piershore/core/quarantine/crash_report.py
@@ -9,17 +9,17 @@
 
 from piershore.core.fleet.peer_report import InvalidReportError
 
-MARK = b"!"
+PREFIX = b"!"
 """First byte of a datagram with crash reports; peer reports begin with a bracket, load
 updates with a plus."""
-MOST_ENDPOINTS = 16
+MAX_ENDPOINTS = 16
 """Endpoints in one report; a request is quarantined after far fewer crashes."""
-LONGEST_NAME = 256
+MAX_NAME_LENGTH = 256
 """Maximum length of a digest or of an endpoint's identity, in characters."""
 
 
 @dataclass(frozen=True)
-class CrashNote:
+class CrashReport:
     """The endpoints that crashed while they ran a request.
 
     `content` is the request's digest. `excused` are the crashes that the request did
@@ -30,26 +30,26 @@
 
     content: str
     crashed: frozenset[str]
-    excused: frozenset[str] = frozenset()
+    cleared: frozenset[str] = frozenset()
     probes: int = 0
 
 
-def is_crash_news(data: bytes) -> bool:
+def holds_crash_reports(data: bytes) -> bool:
     """Return whether a datagram holds crash reports."""
-    return data.startswith(MARK)
+    return data.startswith(PREFIX)
 
 
-def encode_notes(notes: Iterable[CrashNote]) -> bytes:
+def encode_reports(notes: Iterable[CrashReport]) -> bytes:
     """Return one datagram with the reports."""
-    return MARK + orjson.dumps(
-        [[n.content, sorted(n.crashed), sorted(n.excused), n.probes] for n in notes]
+    return PREFIX + orjson.dumps(
+        [[n.content, sorted(n.crashed), sorted(n.cleared), n.probes] for n in notes]
     )
 
 
-def decode_notes(data: bytes) -> tuple[CrashNote, ...]:
+def decode_reports(data: bytes) -> tuple[CrashReport, ...]:
     """Decode a datagram; raise `InvalidReportError` if it isn't valid."""
     try:
-        return tuple(_note(*fields) for fields in orjson.loads(data[len(MARK) :]))
+        return tuple(_note(*fields) for fields in orjson.loads(data[len(PREFIX) :]))
     except (ValueError, TypeError) as error:
         raise InvalidReportError(f"invalid crash reports: {error!r}") from error
 
@@ -57,16 +57,16 @@
 def _note(content: object, crashed: object, excused: object, probes: object):
     if not isinstance(probes, int) or probes < 0:
         raise ValueError("probes must be a count")
-    return CrashNote(_name(content), _names(crashed), _names(excused), probes)
+    return CrashReport(_name(content), _names(crashed), _names(excused), probes)
 
 
 def _names(value: object) -> frozenset[str]:
-    if not isinstance(value, list) or len(value) > MOST_ENDPOINTS:
-        raise ValueError(f"not a list of at most {MOST_ENDPOINTS} endpoints")
+    if not isinstance(value, list) or len(value) > MAX_ENDPOINTS:
+        raise ValueError(f"not a list of at most {MAX_ENDPOINTS} endpoints")
     return frozenset(map(_name, value))
 
 
 def _name(value: object) -> str:
-    if not isinstance(value, str) or not 0 < len(value) <= LONGEST_NAME:
-        raise ValueError(f"not a text of 1 to {LONGEST_NAME} characters")
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_NAME_LENGTH:
+        raise ValueError(f"not a text of 1 to {MAX_NAME_LENGTH} characters")
     return value
--- a/src/piershore/core/quarantine/endpoint_runs.py
+++ b/src/piershore/core/quarantine/endpoint_runs.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from math import inf
 
-FRESH_SECONDS = 1.0
+SUSPECT_WINDOW_SECONDS = 1.0
 """A run whose first chunk came longer ago isn't suspected of its endpoint's crash.
 Observed crashes came 0.07 to 0.25 s after the start of the run that caused them; the
 reviews that they broke off had run for 1.8 to 8.5 s."""
@@ -26,19 +26,19 @@
 
     request: str
     content: str
-    first_at: float = inf
+    first_chunk_at: float = inf
     ended_at: float = inf
 
-    def note_part(self, now: float) -> None:
+    def record_chunk(self, now: float) -> None:
         """Record a chunk of the answer."""
-        self.first_at = min(self.first_at, now)
+        self.first_chunk_at = min(self.first_chunk_at, now)
 
-    def is_fresh(self, now: float) -> bool:
+    def is_suspect(self, now: float) -> bool:
         """Return whether the run may have caused a crash of its endpoint now.
 
         It may if its first chunk came a short time ago, or before the run ended.
         """
-        return min(now, self.ended_at) - self.first_at <= FRESH_SECONDS
+        return min(now, self.ended_at) - self.first_chunk_at <= SUSPECT_WINDOW_SECONDS
 
 
 class EndpointRuns:
@@ -62,24 +62,24 @@
         if not runs:
             del self._runs[identity]
 
-    def leave(self, identity: str, run: EndpointRun, now: float) -> None:
+    def abandon(self, identity: str, run: EndpointRun, now: float) -> None:
         """Record that the gateway no longer waits for the answer to a run."""
         run.ended_at = now
-        if not run.is_fresh(now):
+        if not run.is_suspect(now):
             self.end(identity, run)
 
     def suspects(self, identity: str, now: float) -> Iterator[EndpointRun]:
         """Yield the runs that may have caused a crash of an endpoint now."""
-        self.sweep(now)
-        yield from (run for run in self._runs.get(identity, ()) if run.is_fresh(now))
+        self.drop_expired(now)
+        yield from (run for run in self._runs.get(identity, ()) if run.is_suspect(now))
 
-    def clear(self, identity: str) -> None:
+    def clear_abandoned(self, identity: str) -> None:
         """Remove the abandoned runs at an endpoint that lives: none has crashed it."""
         for run in list(self._runs.get(identity, ())):
             if run.ended_at < inf:
                 self.end(identity, run)
 
-    def sweep(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Remove runs that were abandoned long ago."""
         for identity, runs in list(self._runs.items()):
             for run in list(runs):
--- a/src/piershore/core/quarantine/quarantine.py
+++ b/src/piershore/core/quarantine/quarantine.py
@@ -13,28 +13,28 @@
 from itertools import islice
 from math import inf
 
-from piershore.core.quarantine.crash_note import CrashNote, MOST_ENDPOINTS
-from piershore.core.remembering import remember
+from piershore.core.bounded_mapping import put_newest
+from piershore.core.quarantine.crash_report import CrashReport, MAX_ENDPOINTS
 
-MOST_CRASHES = 2
+CRASHES_BEFORE_QUARANTINE = 2
 """Crashes after which a request is quarantined. One endpoint may crash by chance; of
 10,900 requests on eight days with many faults none broke off at a second endpoint
 without an answer in between."""
-PROBE_SECONDS = (30.0, 120.0, 600.0)
+PROBE_DELAYS_SECONDS = (30.0, 120.0, 600.0)
 """Delays after which a quarantined request is released as a probe, one request in the
 whole fleet each time: endpoints may have been fixed, or have crashed under any request.
 After this many probes without success the request is quarantined until it is
 forgotten."""
 FORGET_SECONDS = 3_600.0
 """A request that was not sent again for this long is forgotten."""
-SOUND_SECONDS = 30.0
+RECENTLY_COMPLETED_SECONDS = 30.0
 """A request that completed within this time isn't suspected: a request that many
 callers send is running at most crashes, and would be quarantined for crashes that
 another one causes."""
-MOST_SOUND = 4_096
+MAX_COMPLETED_REQUESTS = 4_096
 """Completed requests that are remembered, at most 1 MB: those of 30 s at a gateway with
 130 a second."""
-MOST_RECORDS = 2_048
+MAX_RECORDS = 2_048
 """Suspected requests that are remembered, at most 2 MB; each requires a crash."""
 
 
@@ -62,7 +62,9 @@
         self.held_until = -inf
         if self.is_held:
             step = max(self.crashes - self.most_crashes, self.probes)
-            later = PROBE_SECONDS[step] if step < len(PROBE_SECONDS) else inf
+            later = (
+                PROBE_DELAYS_SECONDS[step] if step < len(PROBE_DELAYS_SECONDS) else inf
+            )
             self.held_until = now + later
 
     def excuse(self, now: float) -> bool:
@@ -73,25 +75,25 @@
         self.hold(now)
         return True
 
-    def merge(self, note: CrashNote) -> bool:
+    def merge(self, note: CrashReport) -> bool:
         """Merge a report; return whether any of it is new."""
         before = len(self.crashed), len(self.excused), self.probes
-        room = MOST_ENDPOINTS - len(self.crashed)
+        room = MAX_ENDPOINTS - len(self.crashed)
         self.crashed.update(islice(sorted(note.crashed - self.crashed), room))
-        self.excused.update(note.excused & self.crashed)
+        self.excused.update(note.cleared & self.crashed)
         self.probes = max(self.probes, note.probes)
         return before != (len(self.crashed), len(self.excused), self.probes)
 
-    def note(self, content: str) -> CrashNote:
+    def note(self, content: str) -> CrashReport:
         """Return the report for peers."""
         crashed, excused = frozenset(self.crashed), frozenset(self.excused)
-        return CrashNote(content, crashed, excused, self.probes)
+        return CrashReport(content, crashed, excused, self.probes)
 
 
 class Quarantine:
     """Suspected and quarantined requests by their digest, and their crashes."""
 
-    def __init__(self, most_crashes: int = MOST_CRASHES) -> None:
+    def __init__(self, most_crashes: int = CRASHES_BEFORE_QUARANTINE) -> None:
         self._most_crashes = most_crashes
         self._records: dict[str, _Record] = {}
         self._sound: dict[str, float] = {}
@@ -100,7 +102,7 @@
         """Return the number of quarantined requests."""
         return sum(record.is_held for record in self._records.values())
 
-    def seconds_held(self, content: str, now: float) -> float | None:
+    def seconds_until_release(self, content: str, now: float) -> float | None:
         """Return the seconds until a request may be sent; None if it may be now."""
         record = self._records.get(content)
         if record is None:
@@ -113,7 +115,7 @@
         record.seen_at = now
         return min(record.held_until - now, FORGET_SECONDS)
 
-    def note_sent(self, content: str, now: float) -> bool:
+    def record_sent(self, content: str, now: float) -> bool:
         """Record that a request is sent to an endpoint; return whether as a probe.
 
         A probe defers the next one, here and at all peers that receive the report.
@@ -125,35 +127,35 @@
         record.hold(now)
         return True
 
-    def note_crash(self, content: str, identity: str, now: float) -> int:
+    def record_crash(self, content: str, identity: str, now: float) -> int:
         """Record the crash of an endpoint; return the request's number of crashes.
 
         0 if the crash is known already, or if the request completed recently and is not
         suspected.
         """
-        note = CrashNote(content, frozenset({identity}))
-        if not self.take(note, now) or self.excuse_sound(content, now):
+        note = CrashReport(content, frozenset({identity}))
+        if not self.apply_report(note, now) or self.clear_if_completed(content, now):
             return 0
         return self._records[content].crashes
 
-    def note_whole(self, content: str, now: float) -> bool:
+    def record_completion(self, content: str, now: float) -> bool:
         """Record that a request completed; return whether this clears it of crashes."""
-        remember(self._sound, content, now, MOST_SOUND)
+        put_newest(self._sound, content, now, MAX_COMPLETED_REQUESTS)
         record = self._records.get(content)
         return record is not None and record.excuse(now)
 
-    def excuse_sound(self, content: str, now: float) -> bool:
+    def clear_if_completed(self, content: str, now: float) -> bool:
         """Clear a request of crashes if it completed here recently.
 
         Return whether there were any.
         """
         sound_at = self._sound.get(content, -inf)
         record = self._records.get(content)
-        if record is None or now - sound_at > SOUND_SECONDS:
+        if record is None or now - sound_at > RECENTLY_COMPLETED_SECONDS:
             return False
         return record.excuse(now)
 
-    def take(self, note: CrashNote, now: float) -> bool:
+    def apply_report(self, note: CrashReport, now: float) -> bool:
         """Apply a gateway's report; return whether any of it is new."""
         record = self._records.get(note.content) or _Record(self._most_crashes)
         if not record.merge(note):
@@ -166,17 +168,17 @@
         self._evict()
         return True
 
-    def is_held(self, content: str) -> bool:
+    def is_quarantined(self, content: str) -> bool:
         """Return whether a request is released only as a probe."""
         record = self._records.get(content)
         return record is not None and record.is_held
 
-    def note(self, content: str) -> CrashNote | None:
+    def report(self, content: str) -> CrashReport | None:
         """Return the report for peers about one request, or None."""
         record = self._records.get(content)
         return record and record.note(content)
 
-    def held(self) -> Iterator[CrashNote]:
+    def quarantined_reports(self) -> Iterator[CrashReport]:
         """Yield the reports for peers about all quarantined requests."""
         for content, record in self._records.items():
             if record.is_held:
@@ -184,7 +186,7 @@
 
     def _evict(self) -> None:
         """Evict the oldest of too many records, those not in quarantine first."""
-        if len(self._records) <= MOST_RECORDS:
+        if len(self._records) <= MAX_RECORDS:
             return
         free = (content for content, r in self._records.items() if not r.is_held)
         del self._records[next(free, next(iter(self._records)))]
--- a/src/piershore/core/routes/current_configuration.py
+++ b/src/piershore/core/routes/current_configuration.py
@@ -32,7 +32,7 @@
         """Return the specification in force of a service, or None if it isn't known."""
         return self._configuration.services.get(name) if self._configuration else None
 
-    def offer(self, configuration: ServingConfiguration) -> bool:
+    def apply_if_newer(self, configuration: ServingConfiguration) -> bool:
         """Put a version in force if it is newer; return whether it is."""
         if configuration.version <= self.version:
             return False
--- a/src/piershore/core/routes/configuration_piece.py
+++ b/src/piershore/core/routes/partial_configuration.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class ConfigurationPiece:
+class PartialConfiguration:
     """The fields in one chunk of a configuration; all others are None or empty.
 
     A new version differs from the last in few chunks: the partial configurations that
@@ -32,7 +32,9 @@
     requires_keys: bool = False
 
 
-def join_pieces(pieces: Iterable[ConfigurationPiece]) -> ServingConfiguration:
+def merge_partial_configurations(
+    pieces: Iterable[PartialConfiguration],
+) -> ServingConfiguration:
     """Return the configuration; raise ValueError if a required field is missing."""
     pieces = tuple(pieces)
     routes = chain.from_iterable(_told(pieces, "routes"))
@@ -51,7 +53,7 @@
     )
 
 
-def _told(pieces: tuple[ConfigurationPiece, ...], name: str) -> list:
+def _told(pieces: tuple[PartialConfiguration, ...], name: str) -> list:
     """Return the values of a field; raise ValueError if there is none."""
     values = [getattr(piece, name) for piece in pieces]
     told = [value for value in values if value is not None]
--- a/src/piershore/core/routes/service_spec.py
+++ b/src/piershore/core/routes/service_spec.py
@@ -20,10 +20,10 @@
     can_move: bool
     can_back_up: bool
 
-    def copy_seconds(self, tokens: float, *, within_hall: bool) -> float:
+    def copy_seconds(self, tokens: float, *, within_data_hall: bool) -> float:
         """Return how long copying the memory of `tokens` takes on an idle link."""
         seconds = tokens * self.token_bytes / self.link_bytes_per_second
-        return seconds if within_hall else 2 * seconds
+        return seconds if within_data_hall else 2 * seconds
 
 
 @dataclass(frozen=True)
--- a/src/piershore/core/routing/rest.py
+++ b/src/piershore/core/routing/backoff.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Rest:
+class Backoff:
     """The latest end of all backoffs that one endpoint has requested.
 
     Neither a later request for a shorter backoff nor a success ends it.
@@ -12,7 +12,7 @@
     def __init__(self) -> None:
         self._until = float("-inf")
 
-    def note(self, seconds: float, now: float) -> None:
+    def extend(self, seconds: float, now: float) -> None:
         """Extend the backoff to at least `seconds` from now."""
         self._until = max(self._until, now + seconds)
 
--- a/src/piershore/core/routing/endpoint_state.py
+++ b/src/piershore/core/routing/endpoint_state.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from piershore.core.routing.rest import Rest
+from piershore.core.routing.backoff import Backoff
 
 
 @dataclass(frozen=True)
@@ -31,7 +31,7 @@
     is_leaving: bool = False
     report: LoadReport = field(default_factory=LoadReport)
     unreported: int = 0
-    rest: Rest = field(default_factory=Rest)
+    rest: Backoff = field(default_factory=Backoff)
 
     @property
     def takes_work(self) -> bool:
--- a/src/piershore/core/routing/endpoint_choice.py
+++ b/src/piershore/core/routing/load_balancing_policy.py
@@ -9,13 +9,13 @@
 from piershore.core.hashing import stable_hash
 from piershore.core.routing.endpoint_state import EndpointState
 
-REMOTE_HALL_PENALTY = 1.0
+REMOTE_DATA_HALL_PENALTY = 1.0
 AFFINITY_CANDIDATES = 2
 AFFINITY_SLACK = 4.0
 PREFIX_CHARACTERS = 256
 
 
-class EndpointChoice(ABC):
+class LoadBalancingPolicy(ABC):
     """Chooses among the endpoints that accept work."""
 
     def __init__(self, data_hall: str, random: Random) -> None:
@@ -29,26 +29,26 @@
     def cost(self, endpoint: EndpointState) -> float:
         """Return the expected work, plus a penalty for another data hall."""
         is_remote = endpoint.data_hall != self._data_hall
-        return endpoint.expected_work + (REMOTE_HALL_PENALTY if is_remote else 0.0)
+        return endpoint.expected_work + (REMOTE_DATA_HALL_PENALTY if is_remote else 0.0)
 
 
-CHOICES: dict[str, type[EndpointChoice]] = {}
+LOAD_BALANCING_POLICIES: dict[str, type[LoadBalancingPolicy]] = {}
 
 
-def endpoint_choice(
+def load_balancing_policy(
     name: str,
-) -> Callable[[type[EndpointChoice]], type[EndpointChoice]]:
+) -> Callable[[type[LoadBalancingPolicy]], type[LoadBalancingPolicy]]:
     """Register a policy under its setting value."""
 
-    def register(choice: type[EndpointChoice]) -> type[EndpointChoice]:
-        CHOICES[name] = choice
+    def register(choice: type[LoadBalancingPolicy]) -> type[LoadBalancingPolicy]:
+        LOAD_BALANCING_POLICIES[name] = choice
         return choice
 
     return register
 
 
-@endpoint_choice("random")
-class RandomChoice(EndpointChoice):
+@load_balancing_policy("random")
+class RandomEndpoint(LoadBalancingPolicy):
     """Baseline: any endpoint, at random."""
 
     def choose(self, endpoints: Sequence[EndpointState], prompt: str) -> EndpointState:
@@ -56,8 +56,8 @@
         return self._random.choice(endpoints)
 
 
-@endpoint_choice("least_work_of_two")
-class LeastWorkOfTwo(EndpointChoice):
+@load_balancing_policy("least_work_of_two")
+class LeastWorkOfTwo(LoadBalancingPolicy):
     """The less loaded of two random endpoints, which tolerates stale load reports."""
 
     def choose(self, endpoints: Sequence[EndpointState], prompt: str) -> EndpointState:
@@ -66,7 +66,7 @@
         return min(drawn, key=self.cost)
 
 
-@endpoint_choice("prefix_affinity")
+@load_balancing_policy("prefix_affinity")
 class PrefixAffinity(LeastWorkOfTwo):
     """The endpoint likely to have cached the prompt's prefix, unless overloaded."""
 
--- a/src/piershore/core/streams/delivered_events.py
+++ b/src/piershore/core/streams/delivered_events.py
@@ -28,7 +28,7 @@
         """Events delivered so far."""
         return self._count
 
-    def take(self, events: Iterable[StreamEvent]) -> Iterator[StreamEvent]:
+    def filter_new(self, events: Iterable[StreamEvent]) -> Iterator[StreamEvent]:
         """Yield the events not delivered before; raise `MissingEventError` at a gap."""
         for event in events:
             if event.number is not None and not self._is_next(event.number):
--- a/src/piershore/core/streams/event_splitter.py
+++ b/src/piershore/core/streams/event_splitter.py
@@ -25,7 +25,7 @@
         self._rest = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """The bytes after the last complete event."""
         return self._rest
 
--- a/src/piershore/core/streams/generation.py
+++ b/src/piershore/core/streams/generation.py
@@ -135,7 +135,7 @@
         if self._ending is None:
             self._ending = ending
 
-    def is_drained(self) -> bool:
+    def is_fully_sent(self) -> bool:
         """Return whether the generation has ended and the reader has all tokens."""
         ended = self._ending is not None
         return ended and self._reader is not None and self._sent == self.next_index
--- a/src/piershore/core/streams/silence.py
+++ b/src/piershore/core/streams/silence.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-UNANSWERED_BEFORE_GIVEN_UP = 2
+MAX_UNANSWERED_PROBES = 2
 """Consecutive probes without an answer after which an endpoint is given up. One may be
 lost with a packet, and a stream that resumes elsewhere too early runs at two endpoints.
 """
-EVENTS_ON_THE_WAY = 2
+MAX_EVENTS_IN_TRANSIT = 2
 """Events by which a report may be ahead of the stream: they are sent separately."""
 
 
@@ -28,19 +28,19 @@
     """
 
     is_leaving: bool
-    made_events: Mapping[str, int]
+    generated_events: Mapping[str, int]
     born: int = 0
 
-    def is_of_earlier(self, born: int) -> bool:
+    def is_from_earlier_incarnation(self, born: int) -> bool:
         """Return whether an incarnation before the given one made the report."""
         return 0 < self.born < born
 
-    def is_of_later(self, born: int) -> bool:
+    def is_from_later_incarnation(self, born: int) -> bool:
         """Return whether an incarnation after the given one made the report."""
         return 0 < born < self.born
 
 
-class SilenceVerdict(StrEnum):
+class SilenceDecision(StrEnum):
     """What to do with the stream.
 
     `WAIT`: the endpoint works, or the stream can't be resumed elsewhere. `MOVE`: its
@@ -63,24 +63,24 @@
 
     request: str
     last_event: int
-    can_go_on_elsewhere: bool
+    can_resume_elsewhere: bool
     born: int = 0
 
 
-def judge_silence(
+def evaluate_silence(
     stream: SilentStream, report: EndpointReport | None, unanswered: int
-) -> SilenceVerdict:
+) -> SilenceDecision:
     """Return what to do; `unanswered` counts consecutive probes without a report."""
     if report is None:
-        is_given_up = unanswered >= UNANSWERED_BEFORE_GIVEN_UP
-        if is_given_up and stream.can_go_on_elsewhere:
-            return SilenceVerdict.GIVE_UP
-        return SilenceVerdict.WAIT
-    if report.is_of_later(stream.born):
-        return SilenceVerdict.GIVE_UP
-    if report.is_of_earlier(stream.born):
-        return SilenceVerdict.WAIT
-    made = report.made_events.get(stream.request, 0)
-    if made > stream.last_event + EVENTS_ON_THE_WAY:
-        return SilenceVerdict.MOVE
-    return SilenceVerdict.WAIT
+        is_given_up = unanswered >= MAX_UNANSWERED_PROBES
+        if is_given_up and stream.can_resume_elsewhere:
+            return SilenceDecision.GIVE_UP
+        return SilenceDecision.WAIT
+    if report.is_from_later_incarnation(stream.born):
+        return SilenceDecision.GIVE_UP
+    if report.is_from_earlier_incarnation(stream.born):
+        return SilenceDecision.WAIT
+    made = report.generated_events.get(stream.request, 0)
+    if made > stream.last_event + MAX_EVENTS_IN_TRANSIT:
+        return SilenceDecision.MOVE
+    return SilenceDecision.WAIT
--- a/src/piershore/core/streams/stall_detector.py
+++ b/src/piershore/core/streams/stall_detector.py
@@ -4,7 +4,7 @@
 
 PACE_WEIGHT = 0.02
 STALL_FACTOR = 8.0
-SHORTEST_STALL_SECONDS = 0.2
+MIN_STALL_SECONDS = 0.2
 
 
 class StallDetector:
@@ -16,7 +16,7 @@
     @property
     def threshold(self) -> float:
         """Gap, in seconds, above which a stream has stalled."""
-        return max(SHORTEST_STALL_SECONDS, STALL_FACTOR * (self._pace or 0.0))
+        return max(MIN_STALL_SECONDS, STALL_FACTOR * (self._pace or 0.0))
 
     def observe(self, gap: float) -> float:
         """Record a gap between tokens; return its seconds if it was a stall, else 0."""
--- a/src/piershore/early_port.py
+++ b/src/piershore/early_listener.py
@@ -16,7 +16,7 @@
 _listeners: dict[tuple[str, int], socket.socket] = {}
 
 
-def open_early(host: str, port: int) -> None:
+def open_early_listener(host: str, port: int) -> None:
     """Listen on a port; raise `OSError` if that fails."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -29,6 +29,6 @@
     _listeners[host, port] = listener
 
 
-def take_over(host: str, port: int) -> socket.socket | None:
+def pop_early_listener(host: str, port: int) -> socket.socket | None:
     """Remove and return the early listener of a port; None if there is none."""
     return _listeners.pop((host, port), None)
--- a/src/piershore/gateway/account_directory.py
+++ b/src/piershore/gateway/account_directory.py
@@ -32,7 +32,7 @@
         self._view = view
         self._names: dict[str, str] = {}
         self._hashes: dict[str, tuple[str, ...]] = {}
-        view.listen(self._follow)
+        view.add_listener(self._follow)
 
     def authenticate(self, key: str) -> EffectiveAccount | None:
         """Return the account that `key` belongs to, or None."""
--- a/src/piershore/gateway/agent_link.py
+++ b/src/piershore/gateway/agent_link.py
@@ -9,9 +9,9 @@
 
 from piershore.core.configuration.config_view import ConfigView
 from piershore.core.configuration.objects import EndpointStatus
-from piershore.core.ownership.interval import HeldInterval, Interval, Owner
+from piershore.core.ownership.interval import Interval, Owner, SlotInterval
+from piershore.core.process_pause import was_paused
 from piershore.core.routing.endpoint_state import EndpointState, LoadReport
-from piershore.core.standstill import stood_still
 from piershore.gateway.exceptions import LinkLostError
 from piershore.telemetry import metrics
 from piershore.telemetry.logs import state_changed
@@ -93,7 +93,7 @@
         self._complete_to = 0
         self._applied_beyond: frozenset[int] = frozenset()
         self._cursor: BatchCursor | None = None
-        self._intervals: tuple[HeldInterval, ...] = ()
+        self._intervals: tuple[SlotInterval, ...] = ()
         self._closed = trio.Event()
         self._opened = trio.Event()
         self._heard_at = 0.0
@@ -123,7 +123,7 @@
         return self._incarnation or self._status.incarnation
 
     @property
-    def intervals(self) -> tuple[HeldInterval, ...]:
+    def intervals(self) -> tuple[SlotInterval, ...]:
         """Mint times that the agent said it may run."""
         return self._intervals
 
@@ -222,7 +222,7 @@
             with trio.move_on_at(due):
                 await closed.wait()
             now = trio.current_time()
-            if stood_still(due, now):
+            if was_paused(due, now):
                 # Frames that came meanwhile are still to be read.
                 self._heard_at = now
             elif now >= self._heard_at + SILENCE_SECONDS:
@@ -294,7 +294,7 @@
         self._applied_beyond = frozenset(beat.applied_beyond)
         owner = Owner(self._state.name, self._incarnation or "")
         self._intervals = tuple(
-            HeldInterval(
+            SlotInterval(
                 held.layout_start,
                 held.slot_count,
                 held.slot,
--- a/src/piershore/gateway/agent_links.py
+++ b/src/piershore/gateway/agent_links.py
@@ -14,10 +14,10 @@
     ObjectKind,
     ServiceType,
 )
-from piershore.core.ownership.interval import HeldInterval
+from piershore.core.ownership.interval import SlotInterval
 from piershore.core.routing.aperture import choose_aperture
-from piershore.core.routing.endpoint_choice import CHOICES
 from piershore.core.routing.endpoint_state import EndpointState
+from piershore.core.routing.load_balancing_policy import LOAD_BALANCING_POLICIES
 from piershore.gateway.agent_link import AgentLink
 
 MOST_ASKED_FOR = 32
@@ -44,12 +44,12 @@
         self._asked_for: OrderedDict[str, None] = OrderedDict()
         self._nursery: trio.Nursery | None = None
         self._config = config
-        self._choice = CHOICES[choice](data_hall, Random())
+        self._choice = LOAD_BALANCING_POLICIES[choice](data_hall, Random())
         self._links: dict[str, AgentLink] = {}
         self._retired: set[AgentLink] = set()
         self._leaving: frozenset[str] = frozenset()
         self._changed = trio.Event()
-        config.listen(lambda change: self._changed.set())
+        config.add_listener(lambda change: self._changed.set())
 
     @property
     def all(self) -> tuple[AgentLink, ...]:
@@ -99,13 +99,13 @@
             if link.state.service == service:
                 yield link
 
-    def intervals(self, service: str) -> Iterator[HeldInterval]:
+    def intervals(self, service: str) -> Iterator[SlotInterval]:
         """Yield the mint times that reachable agents of a service may run."""
         for link in self.of_service(service):
             if self._is_able(link.state):
                 yield from link.intervals
 
-    def all_intervals(self, service: str) -> Iterator[HeldInterval]:
+    def all_intervals(self, service: str) -> Iterator[SlotInterval]:
         """Yield the same for agents that are leaving, too."""
         for link in (*self._links.values(), *self._retired):
             if link.state.service == service and link.state.is_open:
--- a/src/piershore/gateway/edit_restorer.py
+++ b/src/piershore/gateway/edit_restorer.py
@@ -54,7 +54,7 @@
         self._reached = StoreRevision(0)
         self._risen_at = float("-inf")
         self._random = Random()
-        view.listen(self._note)
+        view.add_listener(self._note)
 
     @property
     def seconds_to_settle(self) -> float:
@@ -70,7 +70,7 @@
         while True:
             await trio.sleep(PERIOD_SECONDS)
             now = trio.current_time()
-            self._recent.forget_old(now)
+            self._recent.drop_expired(now)
             self._accepted.intersection_update(self._recent.names)
             self._tell_return()
             for name in list(self._due(now)):
@@ -79,7 +79,7 @@
     def _note(self, change: StoredObject) -> None:
         if self._view.complete_to:
             era = era_of(change.version)
-            self._recent.note(change.name, era, trio.current_time())
+            self._recent.record(change.name, era, trio.current_time())
 
     def _tell_return(self) -> None:
         before, now = self._reached, StoreRevision(self._view.complete_to)
@@ -162,5 +162,5 @@
 
     def _confirm(self, name: ObjectName) -> None:
         self._view.confirm(name)
-        self._recent.note_seen(name, self._reached.era)
+        self._recent.mark_confirmed(name, self._reached.era)
         self._due_at.pop(name, None)
--- a/src/piershore/gateway/generation_service.py
+++ b/src/piershore/gateway/generation_service.py
@@ -56,7 +56,7 @@
                     async for item in tokens:
                         shown = True
                         yield item
-                self._quarantine.note_whole(order.content, trio.current_time())
+                self._quarantine.record_completion(order.content, trio.current_time())
                 return
             except RequestRefusedError as error:
                 if shown:
@@ -73,7 +73,7 @@
                 async with aclosing(self._try(tries, order, resumable=False)) as tokens:
                     async for item in tokens:
                         collected.extend(item.tokens)
-                self._quarantine.note_whole(order.content, trio.current_time())
+                self._quarantine.record_completion(order.content, trio.current_time())
                 return tuple(collected)
             except RequestRefusedError as error:
                 self._note_failed(tries, order, error)
@@ -101,7 +101,9 @@
 
         Each retry would take another engine away, with all that it generates.
         """
-        seconds = self._quarantine.seconds_held(order.content, trio.current_time())
+        seconds = self._quarantine.seconds_until_release(
+            order.content, trio.current_time()
+        )
         if seconds is not None:
             raise RequestRefusedError(
                 RefusalReason.QUARANTINED,
@@ -117,16 +119,16 @@
         if error.reason is RefusalReason.ENGINE_LOST and not tries.is_last(error):
             # An engine that is back keeps its agent's name.
             lost = f"{tries.endpoint}@{now}"
-            self._quarantine.note_crash(order.content, lost, now)
+            self._quarantine.record_crash(order.content, lost, now)
         tries.failed(error)
-        if self._quarantine.seconds_held(order.content, now) is not None:
+        if self._quarantine.seconds_until_release(order.content, now) is not None:
             raise error
 
     async def _try(
         self, tries: Tries, order: GenerationOrder, *, resumable: bool
     ) -> AsyncIterator[ShownTokens]:
         link = tries.next_link(order.service, order.prompt)
-        self._quarantine.note_sent(order.content, trio.current_time())
+        self._quarantine.record_sent(order.content, trio.current_time())
         reader = _GenerationReader(link, order.account, self._timeout, resumable)
         reader.submit(order)
         async with aclosing(reader.read()) as tokens:
--- a/src/piershore/gateway/refusals.py
+++ b/src/piershore/gateway/refusals.py
@@ -23,7 +23,7 @@
     retry_after = frame.retry_after_seconds or RETRY_AFTER_SECONDS
     if reason in NOT_TAKING:
         # It seems idle, so that all that follows would be sent there and refused.
-        link.state.rest.note(retry_after, trio.current_time())
+        link.state.rest.extend(retry_after, trio.current_time())
     return RequestRefusedError(
         reason,
         f"{link.state.name} refused: {frame.reason}",
--- a/src/piershore/gateway/retries.py
+++ b/src/piershore/gateway/retries.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from piershore.core.attempts.retry_allowance import RetryAllowance, RetryLimits
+from piershore.core.attempts.retry_budget import RetryBudget, RetryLimits
 
 WINDOW_SECONDS = 10.0
 """Time over which retries are bound: long against a burst of failures, short against
@@ -21,12 +21,12 @@
 
     def __init__(self, share: float, gateways: Callable[[], int]) -> None:
         limits = RetryLimits(ratio=share, slack=SLACK, window=WINDOW_SECONDS, safety=1)
-        self._allowance = RetryAllowance(limits)
+        self._allowance = RetryBudget(limits)
         self._gateways = gateways
 
     def note_request(self) -> None:
         """Count a request's first try."""
-        self._allowance.note_request(trio.current_time())
+        self._allowance.record_request(trio.current_time())
 
     def spend(self) -> bool:
         """Spend one retry; tell whether there was one."""
--- a/src/piershore/http1/client_connection.py
+++ b/src/piershore/http1/client_connection.py
@@ -108,7 +108,7 @@
             await self._skip_answer()
         raise ExchangeBrokenError("only answers to other requests came")
 
-    async def read_parts(self, patience: float = inf) -> AsyncIterator[bytes]:
+    async def read_chunks(self, patience: float = inf) -> AsyncIterator[bytes]:
         """Yield the parts of the body; end only if it is whole.
 
         Raise `ExchangeBrokenError` if nothing comes for `patience` seconds.
@@ -123,7 +123,7 @@
 
     async def read_body(self, patience: float = inf) -> bytes:
         """Read the whole body, with `patience` as for its parts."""
-        return b"".join([part async for part in self.read_parts(patience)])
+        return b"".join([part async for part in self.read_chunks(patience)])
 
     def end_exchange(self) -> bool:
         """Get ready for another request; False if the connection must close."""
--- a/src/piershore/ingress/attempts/attempt_log.py
+++ b/src/piershore/ingress/attempts/attempt_log.py
@@ -7,7 +7,7 @@
 from piershore.core.attempts.attempt_outcome import AttemptOutcome
 from piershore.core.fleet.endpoint import Endpoint
 from piershore.core.fleet.generation_work import GenerationWork
-from piershore.core.fleet.placement import Candidate, Choice
+from piershore.core.fleet.placement import Candidate, PlacementDecision
 from piershore.core.mechanism import Mechanism
 from piershore.ingress.callers.exchange import Exchange
 from piershore.ingress.exceptions import AttemptFailedError
@@ -30,10 +30,10 @@
 """Decimal places of costs in log events; smaller differences only break ties."""
 
 
-def note_attempt(
+def log_attempt(
     state: GatewayState,
     exchange: Exchange,
-    choice: Choice,
+    choice: PlacementDecision,
     number: int,
     work: GenerationWork | None = None,
 ) -> None:
@@ -64,7 +64,7 @@
     )
 
 
-def note_failure(
+def record_failed_attempt(
     state: GatewayState,
     exchange: Exchange,
     endpoint: Endpoint,
@@ -72,43 +72,43 @@
     seconds: float,
 ) -> None:
     """Log and count a failed attempt; record it against the endpoint if at fault."""
-    log_failure(state, exchange, endpoint, error, seconds)
+    log_failed_attempt(state, exchange, endpoint, error, seconds)
     if error.outcome not in NO_FAULT_OF_ENDPOINT:
-        judge_failing(state, endpoint)
+        record_endpoint_failure(state, endpoint)
 
 
-def judge_refusing(
+def record_refusal(
     state: GatewayState, endpoint: Endpoint, error: AttemptFailedError
 ) -> None:
     """Record that an endpoint rejected a new request, which ejects it briefly."""
     if error.outcome is AttemptOutcome.REJECTED:
         now = trio.current_time()
-        if state.health.note_refusal(endpoint.identity, now):
-            note_ejection(state, endpoint, "refusals")
+        if state.health.record_refusal(endpoint.identity, now):
+            log_ejection(state, endpoint, "refusals")
 
 
-def judge_failing(state: GatewayState, endpoint: Endpoint) -> None:
+def record_endpoint_failure(state: GatewayState, endpoint: Endpoint) -> None:
     """Record a failure of an endpoint, which may eject it for a while."""
     now = trio.current_time()
-    state.failures.note(endpoint.identity, now, failed=True)
-    if state.health.note_failure(endpoint.identity, now):
-        note_ejection(state, endpoint, "failures")
+    state.failures.record(endpoint.identity, now, failed=True)
+    if state.health.record_failure(endpoint.identity, now):
+        log_ejection(state, endpoint, "failures")
     state.announce_failure()
-    judge_shared(state, endpoint)
+    eject_on_shared_failures(state, endpoint)
 
 
-def judge_shared(state: GatewayState, endpoint: Endpoint) -> None:
+def eject_on_shared_failures(state: GatewayState, endpoint: Endpoint) -> None:
     """Eject an endpoint if the gateways together observe that it fails."""
-    if not state.uses(Mechanism.SHARED_FAILURES):
+    if not state.is_enabled(Mechanism.SHARED_FAILURES):
         return
     now = trio.current_time()
-    if state.failures.are_failing(endpoint.identity, now) and state.health.note_failing(
+    if state.failures.is_failing(endpoint.identity, now) and state.health.eject(
         endpoint.identity, now
     ):
-        note_ejection(state, endpoint, "failures at several gateways")
+        log_ejection(state, endpoint, "failures at several gateways")
 
 
-def log_failure(
+def log_failed_attempt(
     state: GatewayState,
     exchange: Exchange,
     endpoint: Endpoint,
@@ -125,7 +125,7 @@
     )
 
 
-def note_ejection(state: GatewayState, endpoint: Endpoint, reason: str) -> None:
+def log_ejection(state: GatewayState, endpoint: Endpoint, reason: str) -> None:
     """Log that an endpoint is ejected: it gets no requests for a while."""
     rate = state.health.failure_rate(endpoint.identity)
     event = EndpointEjected(endpoint.identity, rate, reason)
--- a/src/piershore/ingress/attempts/crash_watch.py
+++ b/src/piershore/ingress/attempts/crash_detector.py
@@ -24,7 +24,7 @@
 SWEEP_SECONDS = 2.0
 
 
-class CrashWatch:
+class CrashDetector:
     """Checks whether endpoints whose answers broke off have crashed."""
 
     def __init__(
@@ -53,7 +53,7 @@
         self._nursery = nursery
         self._tell = tell
 
-    def note_break(self, endpoint: Endpoint) -> None:
+    def check_endpoint(self, endpoint: Endpoint) -> None:
         """Check an endpoint whose answer broke off, unless it is leaving.
 
         An endpoint that announced that it leaves ends as planned.
@@ -69,7 +69,7 @@
         self._checks[identity] = trio.Event()
         self._nursery.start_soon(self._check, endpoint)
 
-    def note_gone(self, endpoint: Endpoint) -> None:
+    def record_removal(self, endpoint: Endpoint) -> None:
         """Treat an endpoint that was removed without a notice as crashed.
 
         If it still serves, its completed answers clear the suspected requests.
@@ -77,20 +77,20 @@
         if endpoint.stage is not EndpointStage.LEAVING:
             self._note_crash(endpoint.identity)
 
-    def note_sent(self, content: str) -> None:
+    def record_sent(self, content: str) -> None:
         """Record that a request is sent to an endpoint; report a probe to the peers."""
-        if self._quarantine.note_sent(content, trio.current_time()):
+        if self._quarantine.record_sent(content, trio.current_time()):
             self._tell(content)
 
-    def note_whole(self, request: str, content: str) -> None:
+    def record_completion(self, request: str, content: str) -> None:
         """Record that an endpoint completed a request, which clears its crashes."""
-        if not self._quarantine.note_whole(content, trio.current_time()):
+        if not self._quarantine.record_completion(content, trio.current_time()):
             return
         self._log.write(RequestExcused(request, content), is_failure=True)
         ingress_metrics.QUARANTINED.set(len(self._quarantine))
         self._tell(content)
 
-    async def wait_checked(self, endpoint: Endpoint) -> None:
+    async def wait_for_check(self, endpoint: Endpoint) -> None:
         """Wait briefly for the result of a check, if one is running."""
         check = self._checks.get(endpoint.identity)
         if check is not None:
@@ -102,7 +102,7 @@
         while True:
             await trio.sleep(SWEEP_SECONDS)
             now = trio.current_time()
-            self._runs.sweep(now)
+            self._runs.drop_expired(now)
             for identity, until in list(self._crashed.items()):
                 if until < now:
                     del self._crashed[identity]
@@ -126,7 +126,7 @@
                 return
             self._checks[identity].set()
         if is_there:
-            self._runs.clear(identity)
+            self._runs.clear_abandoned(identity)
 
     def _note_crash(self, identity: str) -> None:
         self._crashed[identity] = trio.current_time() + REMEMBERED_SECONDS
@@ -136,10 +136,10 @@
         """Suspect the requests that the endpoint had just started to run."""
         now, quarantine = trio.current_time(), self._quarantine
         for run in list(self._runs.suspects(identity, now)):
-            crashes = quarantine.note_crash(run.content, identity, now)
+            crashes = quarantine.record_crash(run.content, identity, now)
             if not crashes:
                 continue
-            held = quarantine.seconds_held(run.content, now)
+            held = quarantine.seconds_until_release(run.content, now)
             self._log.write(
                 RequestSuspected(run.request, identity, run.content, crashes, held),
                 is_failure=True,
--- a/src/piershore/ingress/attempts/endpoint_attempt.py
+++ b/src/piershore/ingress/attempts/endpoint_attempt.py
@@ -15,7 +15,7 @@
 from piershore.ingress.callers.exchange import Exchange
 from piershore.ingress.exceptions import AttemptFailedError
 from piershore.ingress.gateway_state import GatewayState
-from piershore.ingress.ports import EndpointAnswer, ForwardOrder
+from piershore.ingress.ports import EndpointAnswer, ForwardingOptions
 
 SENT_AT_ONCE_BYTES = 8_192
 """Larger bodies are sent while the answer is awaited, which may arrive early. Whether
@@ -45,7 +45,7 @@
         self.may_have_run = False
         # Counted before connecting: other requests choose an endpoint meanwhile.
         now = trio.current_time()
-        state.cold.note_sent(endpoint, now)
+        state.cold_starts.record_sent(endpoint, now)
         self._is_counted = state.limits.claim(endpoint, now)
 
     @property
@@ -53,7 +53,7 @@
         """Whether the request was sent and no head of an answer was received."""
         return self.may_have_run and self.head is None
 
-    async def start(self, order: ForwardOrder) -> EndpointAnswer:
+    async def start(self, order: ForwardingOptions) -> EndpointAnswer:
         """Send the request and read the answer's head.
 
         Raise `AttemptFailedError` if that fails or the endpoint did not run the
@@ -69,7 +69,7 @@
         self._check_rest()
         self._check_limit()
         self._begin_run()
-        head = self._state.dialect.for_endpoint(
+        head = self._state.dialect.build_forwarded_head(
             exchange.request, len(exchange.body), self.endpoint, order
         )
         self.may_have_run = True
@@ -99,11 +99,11 @@
         self._is_whole = True
         return body
 
-    async def read_parts(self) -> AsyncIterator[bytes]:
+    async def read_chunks(self) -> AsyncIterator[bytes]:
         """Yield the body in chunks; raise `ExchangeBrokenError` if it breaks off."""
         try:
-            async for part in self._connection.read_parts():
-                self._run.note_part(trio.current_time())
+            async for part in self._connection.read_chunks():
+                self._run.record_chunk(trio.current_time())
                 yield part
         except ExchangeBrokenError:
             self._is_broken = True
@@ -129,12 +129,14 @@
         A complete answer that isn't passed to the caller proves nothing of the kind.
         """
         exchange = self._exchange
-        self._state.crash_watch.note_whole(exchange.identity, exchange.content)
+        self._state.crash_detector.record_completion(
+            exchange.identity, exchange.content
+        )
 
     def _check_rest(self) -> None:
         """Fail if the endpoint asked callers to back off while this connected."""
         now = trio.current_time()
-        if self._state.rests.is_resting(self.endpoint.identity, now):
+        if self._state.backoffs.is_active(self.endpoint.identity, now):
             raise AttemptFailedError(
                 AttemptOutcome.RESTING, "the endpoint has asked callers to back off"
             )
@@ -157,12 +159,12 @@
         streams that continue from a copy or a backup, and streams that restart.
         """
         state, exchange = self._state, self._exchange
-        if exchange.seconds_held(state.quarantine) is not None:
+        if exchange.seconds_until_release(state.quarantine) is not None:
             raise AttemptFailedError(
                 AttemptOutcome.HELD,
                 "the request is quarantined: endpoints have crashed while running it",
             )
-        state.crash_watch.note_sent(exchange.content)
+        state.crash_detector.record_sent(exchange.content)
         self._run = state.runs.begin(
             self.endpoint.identity, exchange.identity, exchange.content
         )
@@ -176,9 +178,9 @@
         if self._is_whole or not self.may_have_run:
             state.runs.end(identity, run)
         else:
-            state.runs.leave(identity, run, trio.current_time())
+            state.runs.abandon(identity, run, trio.current_time())
         if self._is_broken:
-            state.crash_watch.note_break(self.endpoint)
+            state.crash_detector.check_endpoint(self.endpoint)
 
     def _ends_here(self) -> bool:
         if len(self._exchange.body) > SENT_AT_ONCE_BYTES:
@@ -187,7 +189,7 @@
         return value is not None and b"close" in value.lower()
 
     def _is_own(self, head: ResponseHead) -> bool:
-        return self._state.dialect.is_own_answer(self._exchange.request, head)
+        return self._state.dialect.is_answer_to(self._exchange.request, head)
 
     async def _send(self, head: RequestHead) -> None:
         if len(self._exchange.body) <= SENT_AT_ONCE_BYTES:
--- a/src/piershore/ingress/attempts/endpoint_notices.py
+++ b/src/piershore/ingress/attempts/endpoint_notices.py
@@ -12,10 +12,10 @@
 from piershore.core.fleet.endpoint_notice import (
     EndpointNotice,
     NO_NOTICE,
-    PLAIN_NOTICE,
+    UNRESTRICTED_NOTICE,
 )
 from piershore.core.fleet.endpoint_rate_limits import EndpointRateLimits
-from piershore.core.fleet.heard_notices import HeardNotices
+from piershore.core.fleet.notice_handler import NoticeHandler
 from piershore.core.streams.silence import EndpointReport
 from piershore.http1.message import ResponseHead
 from piershore.ingress.attempts.rate_limit_monitor import RateLimitMonitor
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        heard: HeardNotices,
+        heard: NoticeHandler,
         limits: EndpointRateLimits,
         monitor: RateLimitMonitor,
         dialect: RequestDialect,
@@ -66,19 +66,21 @@
         self._on_departures = on_departures
         self._announce = announce
 
-    def take(self, endpoint: Endpoint, head: ResponseHead) -> None:
+    def receive_head(self, endpoint: Endpoint, head: ResponseHead) -> None:
         """Apply the notice in an answer's head, if there is one."""
         notice = self._dialect.read_notice(head)
         if notice == NO_NOTICE:
             return
         is_limited = self._limits.is_limited(endpoint.identity)
-        if notice != PLAIN_NOTICE or is_limited:
+        if notice != UNRESTRICTED_NOTICE or is_limited:
             self._apply(endpoint, notice, head.status)
 
-    def take_report(self, endpoint: Endpoint, report: EndpointReport) -> None:
+    def receive_report(self, endpoint: Endpoint, report: EndpointReport) -> None:
         """Apply a report, if it is from the incarnation that was probed."""
         born = endpoint.born
-        if report.is_of_earlier(born) or report.is_of_later(born):
+        if report.is_from_earlier_incarnation(born) or report.is_from_later_incarnation(
+            born
+        ):
             return
         if report.is_leaving:
             self._apply(endpoint, EndpointNotice(is_leaving=True), HTTPStatus.OK)
@@ -87,7 +89,7 @@
         self._count(notice)
         identity = endpoint.identity
         was_limited = self._limits.is_limited(identity)
-        heard = self._heard.take(endpoint, notice, trio.current_time())
+        heard = self._heard.apply(endpoint, notice, trio.current_time())
         if heard.has_new_limit:
             self._monitor.record_change(identity)
         if self._limits.is_limited(identity) != was_limited:
@@ -99,7 +101,7 @@
                 status,
                 notice.is_leaving,
                 notice.rest_seconds,
-                notice.named_rate,
+                notice.advertised_rate,
                 notice.unreadable,
             )
             self._log.write(event, is_failure=True)
@@ -111,7 +113,7 @@
             ingress_metrics.NOTICES.labels("leaving").inc()
         if notice.rest_seconds is not None:
             ingress_metrics.NOTICES.labels("rest").inc()
-        if notice.named_rate is not None:
+        if notice.advertised_rate is not None:
             ingress_metrics.NOTICES.labels("rate_limit").inc()
         if notice.unreadable:
             ingress_metrics.NOTICES.labels("unreadable").inc()
--- a/src/piershore/ingress/attempts/rate_limit_monitor.py
+++ b/src/piershore/ingress/attempts/rate_limit_monitor.py
@@ -38,7 +38,7 @@
         endpoint = self._directory.get(identity)
         if endpoint is None:
             return
-        quota = self._limits.part(endpoint)
+        quota = self._limits.quota(endpoint)
         event = EndpointLimitChanged(
             identity,
             self._limits.rate(identity) if quota else None,
@@ -48,9 +48,9 @@
         )
         self._log.write(event, is_failure=True)
 
-    def measure(self) -> None:
+    def update_gauges(self) -> None:
         """Drop expired limits, and set the gauges."""
-        self._limits.forget_old(trio.current_time())
+        self._limits.drop_expired(trio.current_time())
         limited = set(self._limits.limited())
         for identity in self._measured - limited:
             ingress_metrics.RATE_LIMITS.remove(identity)
@@ -61,7 +61,7 @@
 
     def _measure_one(self, endpoint: Endpoint) -> None:
         identity = endpoint.identity
-        quota = self._limits.part(endpoint)
+        quota = self._limits.quota(endpoint)
         ingress_metrics.RATE_LIMITS.labels(identity).set(self._limits.rate(identity))
         part = quota.requests / quota.window
         ingress_metrics.RATE_PARTS.labels(identity).set(part)
--- a/src/piershore/ingress/callers/answers.py
+++ b/src/piershore/ingress/callers/answers.py
@@ -35,7 +35,7 @@
     )
     state.log.write(event, is_failure=error.status >= HTTPStatus.INTERNAL_SERVER_ERROR)
     body = orjson.dumps({"code": error.code, "message": error.message})
-    headers = state.dialect.own_headers(request, error.retry_after)
+    headers = state.dialect.gateway_answer_headers(request, error.retry_after)
     await connection.respond(error.status, headers, body)
 
 
--- a/src/piershore/ingress/callers/caller_service.py
+++ b/src/piershore/ingress/callers/caller_service.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from piershore.core.attempts.leaving import takes_while_leaving
+from piershore.core.attempts.leaving import accepts_while_leaving
 from piershore.core.routes.route import RequestKind, Route
 from piershore.core.routes.serving_configuration import (
     AccountRef,
@@ -171,12 +171,14 @@
             return
         seconds = now - state.leaving_since
         seconds_left = state.stops_at - now
-        if not takes_while_leaving(route.timeout, request.size, seconds, seconds_left):
+        if not accepts_while_leaving(
+            route.timeout, request.size, seconds, seconds_left
+        ):
             raise RequestRefusedError(
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 "leaving",
                 "this gateway is shutting down; retry at another one",
-                state.seconds_until_taken(),
+                state.seconds_until_accepted(),
             )
 
     def _check_held(self, exchange: Exchange) -> None:
@@ -184,7 +186,7 @@
 
         Each attempt that was forwarded crashed one more endpoint, with all that it ran.
         """
-        seconds = exchange.seconds_held(self._state.quarantine)
+        seconds = exchange.seconds_until_release(self._state.quarantine)
         if seconds is not None:
             raise RequestRefusedError(
                 HTTPStatus.TOO_MANY_REQUESTS,
--- a/src/piershore/ingress/callers/exchange.py
+++ b/src/piershore/ingress/callers/exchange.py
@@ -15,7 +15,7 @@
     ServingConfiguration,
 )
 from piershore.http1.server_connection import ServerConnection
-from piershore.ingress.ports import CallerRequest, ForwardOrder
+from piershore.ingress.ports import CallerRequest, ForwardingOptions
 
 
 @dataclass(frozen=True)
@@ -46,9 +46,9 @@
         """Digest that identifies the request when it is sent again under another id."""
         return request_digest(self.account_name, self.request.head.target, self.body)
 
-    def seconds_held(self, quarantine: Quarantine) -> float | None:
+    def seconds_until_release(self, quarantine: Quarantine) -> float | None:
         """Return in how many seconds quarantine ends; None if not quarantined."""
-        return quarantine.seconds_held(self.content, trio.current_time())
+        return quarantine.seconds_until_release(self.content, trio.current_time())
 
     @property
     def account_name(self) -> str:
@@ -72,6 +72,8 @@
             return self.account.priority
         return self.route.priority
 
-    def order(self, **added) -> ForwardOrder:
+    def forwarding_options(self, **added) -> ForwardingOptions:
         """Return what is added to the request when it is forwarded now."""
-        return ForwardOrder(time_left=self.time_left, account=self.account, **added)
+        return ForwardingOptions(
+            time_left=self.time_left, account=self.account, **added
+        )
--- a/src/piershore/ingress/callers/final_refusal.py
+++ b/src/piershore/ingress/callers/final_refusal.py
@@ -21,7 +21,7 @@
     state: GatewayState,
     exchange: Exchange,
     outcomes: Sequence[AttemptOutcome],
-    come_back: float,
+    retry_after: float,
     *,
     timed_out: bool,
 ) -> RequestRefusedError:
@@ -32,7 +32,7 @@
     """
     status = final_status(tuple(outcomes))
     if status is HTTPStatus.SERVICE_UNAVAILABLE:
-        return _unrun(state, exchange, outcomes, come_back)
+        return _unrun(state, exchange, outcomes, retry_after)
     code = "timed_out" if timed_out else "endpoint_failed"
     return RequestRefusedError(status, code, "the request may have run")
 
@@ -47,14 +47,14 @@
     status = HTTPStatus.SERVICE_UNAVAILABLE
     service = exchange.route.service_for(exchange.identity) or ""
     now = trio.current_time()
-    left = state.placement.service_seconds_left(service, now)
+    left = state.placement.seconds_until_any_available(service, now)
     rate = state.placement.limited_rate(service)
     if left is not None and rate:
         return RequestRefusedError(
             status,
             "endpoints_limited",
             "the rate limits of all endpoints are reached",
-            max(come_back, state.returns(service).book(left, rate, now)),
+            max(come_back, state.retry_schedule(service).reserve(left, rate, now)),
         )
     if left is not None:
         seconds = left * state.random.uniform(*RESTED_SPREAD)
--- a/src/piershore/ingress/callers/listeners.py
+++ b/src/piershore/ingress/callers/listeners.py
@@ -8,7 +8,7 @@
 import trio
 
 from piershore.core.fleet.endpoint import Address
-from piershore.early_port import BACKLOG, take_over
+from piershore.early_listener import BACKLOG, pop_early_listener
 from piershore.telemetry.event_log import EventLog
 
 READY_PATIENCE_SECONDS = 0.3
@@ -39,7 +39,7 @@
         It is served once `is_ready` returns True, since the gateway then knows where
         to forward requests, or after `READY_PATIENCE_SECONDS`.
         """
-        early = take_over(address.host, address.port)
+        early = pop_early_listener(address.host, address.port)
         if early is None:
             listeners = await trio.open_tcp_listeners(
                 address.port, host=address.host, backlog=BACKLOG
--- a/src/piershore/ingress/calls/call_forwarder.py
+++ b/src/piershore/ingress/calls/call_forwarder.py
@@ -9,23 +9,23 @@
 
 from piershore.core.attempts.attempt_outcome import (
     AttemptOutcome,
-    may_try_again,
-    MOST_PROVEN_UNRUN,
+    MAX_UNRUN_REFUSALS,
+    may_retry,
     NOT_RUN_STATUSES,
 )
 from piershore.core.fleet.endpoint import Endpoint
 from piershore.core.fleet.fleet_load import PlainWork
-from piershore.core.fleet.placement import Choice
-from piershore.core.fleet.room_wait import waiting_seconds
+from piershore.core.fleet.memory_wait import max_memory_wait_seconds
+from piershore.core.fleet.placement import PlacementDecision
 from piershore.core.mechanism import Mechanism
 from piershore.core.routes.route import RequestKind
 from piershore.http1.message import Headers
 from piershore.ingress.attempts.attempt_log import (
-    judge_failing,
-    judge_refusing,
-    log_failure,
-    note_attempt,
-    note_failure,
+    log_attempt,
+    log_failed_attempt,
+    record_endpoint_failure,
+    record_failed_attempt,
+    record_refusal,
 )
 from piershore.ingress.attempts.endpoint_attempt import EndpointAttempt
 from piershore.ingress.callers.exchange import Exchange
@@ -46,7 +46,7 @@
 FAILURES_OF_A_REQUEST = 2
 """Number of endpoints that answer with a failure from which on the request is at fault
 and not the endpoints."""
-COME_BACK_SECONDS = 0.25
+RETRY_AFTER_SECONDS = 0.25
 """Sent as Retry-After: calls take a few tens of milliseconds, so endpoints have
 capacity again by then."""
 
@@ -113,7 +113,7 @@
         )
         if not is_own_fault:
             for endpoint in self._suspects:
-                judge_failing(self._state, endpoint)
+                record_endpoint_failure(self._state, endpoint)
         return answer
 
     async def _try_endpoints(self) -> WholeAnswer | None:
@@ -121,7 +121,7 @@
         service = exchange.route.service_for(exchange.identity)
         if service is None:
             return None
-        self._state.allowance(service).note_request(trio.current_time())
+        self._state.retry_budget(service).record_request(trio.current_time())
         while True:
             now = trio.current_time()
             choice = self._state.placement.for_call(service, now, self._tried)
@@ -134,7 +134,7 @@
             answer = await self._attempt(choice)
             if answer is not None:
                 return answer
-            await self._state.crash_watch.wait_checked(choice.endpoint)
+            await self._state.crash_detector.wait_for_check(choice.endpoint)
             if not self._may_go_on(service):
                 return self._failed_answer
 
@@ -144,9 +144,11 @@
         Return False if there is none.
         """
         now = trio.current_time()
-        left = self._state.placement.service_seconds_left(service, now)
+        left = self._state.placement.seconds_until_any_available(service, now)
         exchange = self._exchange
-        until = exchange.arrived + waiting_seconds(exchange.route.target_latency)
+        until = exchange.arrived + max_memory_wait_seconds(
+            exchange.route.target_latency
+        )
         if left is None or now + left > until:
             return False
         await trio.sleep(left)
@@ -161,26 +163,26 @@
             self._state,
             self._exchange,
             outcomes,
-            COME_BACK_SECONDS,
+            RETRY_AFTER_SECONDS,
             timed_out=timed_out,
         )
 
     def _may_go_on(self, service: str) -> bool:
         outcome = self.outcomes[-1]
         kind = self._exchange.route.kind
-        if not may_try_again(kind, outcome):
+        if not may_retry(kind, outcome):
             return False
         if self._runs >= self._exchange.route.max_attempts:
             return False
-        if self._exchange.seconds_held(self._state.quarantine) is not None:
+        if self._exchange.seconds_until_release(self._state.quarantine) is not None:
             return False
         unrun = sum(outcome.proves_not_run for outcome in self.outcomes)
-        if unrun >= MOST_PROVEN_UNRUN or not self._state.may_retry(service):
+        if unrun >= MAX_UNRUN_REFUSALS or not self._state.spend_retry(service):
             return False
         ingress_metrics.RETRIES.labels(outcome).inc()
         return True
 
-    async def _attempt(self, choice: Choice) -> WholeAnswer | None:
+    async def _attempt(self, choice: PlacementDecision) -> WholeAnswer | None:
         exchange = self._exchange
         endpoint = choice.endpoint
         self._tried.append(endpoint.identity)
@@ -189,7 +191,7 @@
         attempt = EndpointAttempt(self._state, exchange, endpoint, idle)
         work = PlainWork()
         self._state.fleet_load.add(endpoint.identity, work)
-        note_attempt(self._state, exchange, choice, len(self._tried))
+        log_attempt(self._state, exchange, choice, len(self._tried))
         started = trio.current_time()
         try:
             with trio.move_on_after(self._patience()):
@@ -208,17 +210,17 @@
                     await self._state.pool.drop(endpoint.address)
 
     async def _exchange_with(self, attempt: EndpointAttempt) -> WholeAnswer | None:
-        answer = await attempt.start(self._exchange.order())
+        answer = await attempt.start(self._exchange.forwarding_options())
         body = await attempt.read_body()
         identity = attempt.endpoint.identity
-        if not answer.is_sound or answer.status in NOT_RUN_STATUSES:
+        if not answer.is_valid or answer.status in NOT_RUN_STATUSES:
             raise AttemptFailedError(
                 AttemptOutcome.MAYBE_RUN, f"unusable answer, status {answer.status}"
             )
-        headers = self._state.dialect.answer_headers(attempt.head)
+        headers = self._state.dialect.forwarded_answer_headers(attempt.head)
         whole = WholeAnswer(attempt.endpoint, answer.status, headers, body)
         if answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-            self._state.note_success(identity)
+            self._state.record_success(identity)
             attempt.record_served()
             return whole
         self._failed_answer = whole
@@ -236,7 +238,7 @@
         is_repeatable = exchange.route.kind is RequestKind.REPEATABLE
         if not is_repeatable or self._runs + 1 >= exchange.route.max_attempts:
             return float("inf")
-        if not self._state.uses(Mechanism.PATIENCE):
+        if not self._state.is_enabled(Mechanism.PATIENCE):
             return float("inf")
         patience = self._silent_seconds
         # The time left is negative if the process was suspended since the arrival.
@@ -247,8 +249,8 @@
     ) -> None:
         self.outcomes.append(error.outcome)
         if error.outcome is AttemptOutcome.FAILED_ANSWER:
-            log_failure(self._state, self._exchange, endpoint, error, seconds)
+            log_failed_attempt(self._state, self._exchange, endpoint, error, seconds)
             self._suspects.append(endpoint)
             return
-        note_failure(self._state, self._exchange, endpoint, error, seconds)
-        judge_refusing(self._state, endpoint, error)
+        record_failed_attempt(self._state, self._exchange, endpoint, error, seconds)
+        record_refusal(self._state, endpoint, error)
--- a/src/piershore/ingress/daemon.py
+++ b/src/piershore/ingress/daemon.py
@@ -9,12 +9,12 @@
 
 import trio
 
-from piershore.core.attempts.leaving import STILL_SENT_SECONDS
+from piershore.core.attempts.leaving import ROUTING_LAG_SECONDS
 from piershore.core.fleet.drained_halls import DrainedHalls
 from piershore.core.fleet.endpoint_directory import Departure
-from piershore.core.fleet.peer_report import DepartureNote
+from piershore.core.fleet.peer_report import DepartureReport
 from piershore.core.fleet.policies import Policies
-from piershore.core.fleet.store_silence import StoreSign
+from piershore.core.fleet.store_silence import StoreLiveness
 from piershore.core.mechanism import Mechanism
 from piershore.ingress.callers.caller_service import CallerService
 from piershore.ingress.callers.listeners import Listeners
@@ -26,16 +26,16 @@
 from piershore.ingress.gateway_state import GatewayState
 from piershore.ingress.live_stream import LiveStream, LiveStreams
 from piershore.ingress.moves.move_coordinator import MoveCoordinator
-from piershore.ingress.peers.crash_news import CrashNews
-from piershore.ingress.peers.load_notes import LoadNotes
-from piershore.ingress.peers.outage_watch import OutageWatch
+from piershore.ingress.peers.crash_reporter import CrashReporter
+from piershore.ingress.peers.load_update_sender import LoadUpdateSender
+from piershore.ingress.peers.outage_prober import OutageProber
 from piershore.ingress.peers.peer_documents import PeerDocuments
 from piershore.ingress.peers.peer_link import PeerLink
 from piershore.ingress.ports import (
     ConfigurationFeed,
     DrainFeed,
     EndpointFeed,
-    EndpointReports,
+    EndpointProber,
     GenerationMover,
     RequestDialect,
 )
@@ -82,7 +82,7 @@
         configuration_feed: ConfigurationFeed,
         endpoint_feed: EndpointFeed,
         drain_feed: DrainFeed,
-        endpoint_reports: EndpointReports,
+        endpoint_reports: EndpointProber,
         metrics_port: int | None = None,
         policies: Policies | None = None,
     ) -> None:
@@ -111,7 +111,7 @@
             self._state, endpoint_feed, WATCH_SECONDS, self._on_departure
         )
         self._state.notices.start(
-            self._endpoints.take_departures, self._announce_to_peers
+            self._endpoints.handle_departures, self._announce_to_peers
         )
         self._drains = DrainFollower(
             self._state, drain_feed, DRAIN_WATCH_SECONDS, self._on_drained
@@ -148,24 +148,24 @@
             self._live,
             self._reads_store,
             self._store_sign,
-            self._endpoints.note_departed,
+            self._endpoints.apply_departure,
             self._drains,
         )
         self._peers = link
         self._state.announce = link.announce
         self._state.announce_failure = link.announce_failure
-        notes = LoadNotes(self._state, link)
-        news = CrashNews(self._state, link)
-        if self._state.uses(Mechanism.SUBSETS):
-            self._state.tell_load = notes.note_new_work
-        self._state.seconds_until_taken = link.seconds_until_taken
-        self._configuration.use_watchers(link.should_watch)
-        self._endpoints.use_watchers(link.should_watch)
-        self._drains.use_watchers(link.should_watch)
+        notes = LoadUpdateSender(self._state, link)
+        news = CrashReporter(self._state, link)
+        if self._state.is_enabled(Mechanism.SUBSETS):
+            self._state.announce_load = notes.schedule_update
+        self._state.seconds_until_accepted = link.seconds_until_accepted
+        self._configuration.set_watch_condition(link.should_watch)
+        self._endpoints.set_watch_condition(link.should_watch)
+        self._drains.set_watch_condition(link.should_watch)
         documents = PeerDocuments(
             self._state, self._settings, link, self._configuration, self._endpoints
         )
-        outages = OutageWatch(
+        outages = OutageProber(
             self._state,
             self._settings.host,
             self._endpoint_reports,
@@ -179,14 +179,14 @@
         try:
             async with trio.open_nursery() as nursery:
                 self._moves.start(nursery, link)
-                self._state.crash_watch.start(nursery, news.tell)
+                self._state.crash_detector.start(nursery, news.announce)
                 news.start(nursery)
-                nursery.start_soon(self._supervise, self._state.crash_watch.sweep)
+                nursery.start_soon(self._supervise, self._state.crash_detector.sweep)
                 nursery.start_soon(self._supervise, news.run)
                 await self._start(nursery, link, notes, documents)
-                if self._state.uses(Mechanism.OUTAGE_QUESTIONS):
+                if self._state.is_enabled(Mechanism.OUTAGE_QUESTIONS):
                     nursery.start_soon(self._supervise, outages.run)
-                if self._state.uses(Mechanism.SILENCE_QUESTIONS):
+                if self._state.is_enabled(Mechanism.SILENCE_QUESTIONS):
                     nursery.start_soon(self._supervise, silences.run)
                 self._log.write(
                     ProcessStarted(link.incarnation, self._settings.data_hall)
@@ -199,7 +199,7 @@
         self,
         nursery: trio.Nursery,
         link: PeerLink,
-        notes: LoadNotes,
+        notes: LoadUpdateSender,
         documents: PeerDocuments,
     ) -> None:
         settings = self._settings
@@ -240,12 +240,15 @@
             await trio.sleep(RESTART_SECONDS)
 
     def _reads_store(self) -> bool:
-        link = self._endpoints.link
+        link = self._endpoints.health
         return not link.is_out and link.is_fresh(WATCH_SECONDS + FRESH_SLACK_SECONDS)
 
-    def _store_sign(self) -> StoreSign:
-        signs = (self._configuration.link.sign(), self._endpoints.link.sign())
-        return StoreSign(
+    def _store_sign(self) -> StoreLiveness:
+        signs = (
+            self._configuration.health.liveness(),
+            self._endpoints.health.liveness(),
+        )
+        return StoreLiveness(
             min(sign.answer_age for sign in signs),
             any(sign.is_overdue for sign in signs),
         )
@@ -273,7 +276,7 @@
         for endpoint in drained:
             self._live.drop_backups(endpoint.identity)
             self._state.pool.retire(endpoint.address)
-        streams = sum(len(self._live.at(e.identity)) for e in drained)
+        streams = sum(len(self._live.running_at(e.identity)) for e in drained)
         for data_hall in sorted(view.data_halls ^ before):
             is_drained = data_hall in view.data_halls
             event = HallDrained(data_hall, is_drained, streams, view.revision, source)
@@ -286,7 +289,7 @@
 
     def _on_departure(self, departure: Departure) -> None:
         endpoint = departure.endpoint
-        streams = self._live.at(endpoint.identity)
+        streams = self._live.running_at(endpoint.identity)
         self._log.write(
             EndpointLeft(
                 endpoint.identity,
@@ -299,10 +302,10 @@
             is_failure=True,
         )
         if self._peers is not None:
-            note = DepartureNote(
+            note = DepartureReport(
                 endpoint.identity, departure.is_gone, departure.is_restarted
             )
-            self._peers.note_departed(note)
+            self._peers.announce_departure(note)
         self._live.drop_backups(endpoint.identity)
         if departure.is_restarted:
             self._end_streams(streams)
@@ -310,7 +313,7 @@
         else:
             self._moves.evacuate(endpoint)
         if departure.is_gone:
-            self._state.crash_watch.note_gone(endpoint)
+            self._state.crash_detector.record_removal(endpoint)
             self._state.health.forget(endpoint.identity)
             self._state.paces.forget(endpoint.identity)
             self._state.failures.forget(endpoint.identity)
@@ -330,9 +333,9 @@
             await trio.sleep(SWEEP_SECONDS)
             await self._state.pool.close_idle()
             ingress_metrics.IN_FLIGHT.set(self._state.in_flight)
-            self._state.rests.forget_ended(trio.current_time())
-            ingress_metrics.RESTING.set(len(self._state.rests))
-            self._state.limit_monitor.measure()
+            self._state.backoffs.drop_expired(trio.current_time())
+            ingress_metrics.RESTING.set(len(self._state.backoffs))
+            self._state.limit_monitor.update_gauges()
             for service, left in self._state.retries_left():
                 ingress_metrics.RETRIES_LEFT.labels(service).set(left)
 
@@ -360,7 +363,7 @@
         self._state.stops_at = now + self._settings.stop_grace - STOP_MARGIN_SECONDS
         self._log.write(ProcessStopping(self._state.in_flight), is_failure=True)
         with trio.move_on_at(self._state.stops_at):
-            await trio.sleep_until(now + STILL_SENT_SECONDS)
+            await trio.sleep_until(now + ROUTING_LAG_SECONDS)
             self._callers.close_idle()
             await trio.sleep_until(now + LEAVE_SECONDS)
             while self._state.in_flight:
--- a/src/piershore/ingress/followers/configuration_follower.py
+++ b/src/piershore/ingress/followers/configuration_follower.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
+from piershore.checkpoints import with_checkpoints
 from piershore.core.documents.document import Document
 from piershore.core.fleet.store_revision import StoreRevision
-from piershore.core.routes.configuration_piece import ConfigurationPiece
+from piershore.core.routes.partial_configuration import PartialConfiguration
 from piershore.ingress.followers.store_follower import StoreFollower
 from piershore.ingress.gateway_state import GatewayState
 from piershore.ingress.ports import ConfigurationFeed
 from piershore.platform.exceptions import InvalidObjectError
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import ConfigurationInForce, InvalidEntry
-from piershore.turns import in_turns
 
 
 class ConfigurationFollower(StoreFollower):
@@ -23,7 +23,7 @@
         super().__init__(state, "configuration", watch_seconds, feed)
         self._feed = feed
         self._document: Document | None = None
-        self._pieces: dict[str, ConfigurationPiece] = {}
+        self._pieces: dict[str, PartialConfiguration] = {}
 
     @property
     def document(self) -> Document | None:
@@ -40,7 +40,7 @@
         """The revision of the document in force, from the store or a peer."""
         return self._document.revision if self._document is not None else None
 
-    async def take(self, document: Document, source: str) -> bool:
+    async def apply(self, document: Document, source: str) -> bool:
         """Put a document in force if it is newer; return whether it was.
 
         An invalid document is logged and ignored.
@@ -53,7 +53,7 @@
                 InvalidEntry("configuration", error.message), is_failure=True
             )
             return False
-        if not self._state.configuration.offer(configuration):
+        if not self._state.configuration.apply_if_newer(configuration):
             return False
         self._document = document
         self._pieces = pieces
@@ -65,12 +65,12 @@
         )
         return True
 
-    async def _decode(self, document: Document) -> dict[str, ConfigurationPiece]:
+    async def _decode(self, document: Document) -> dict[str, PartialConfiguration]:
         """Decode the new chunks; reuse the pieces decoded from the others."""
         pieces = {}
-        async for part in in_turns(document.parts):
+        async for part in with_checkpoints(document.chunks):
             known = self._pieces.get(part.digest)
-            pieces[part.digest] = known or self._feed.decode_part(part)
+            pieces[part.digest] = known or self._feed.decode_chunk(part)
         return pieces
 
     async def _read(self) -> StoreRevision:
@@ -86,5 +86,5 @@
         return reached
 
     async def _take_from_store(self, document: Document | None) -> None:
-        if document is not None and await self.take(document, "store"):
+        if document is not None and await self.apply(document, "store"):
             self._state.announce()
--- a/src/piershore/ingress/followers/drain_follower.py
+++ b/src/piershore/ingress/followers/drain_follower.py
@@ -55,10 +55,10 @@
         """The revision of the view, from the store or a peer."""
         return self._view.revision if self._view is not None else None
 
-    def take_from_peer(self, view: DrainedHalls, host: str) -> None:
+    def apply_from_peer(self, view: DrainedHalls, host: str) -> None:
         """Apply the view of a peer if it is newer."""
         if self._take(view, f"peer {host}"):
-            self._feed.go_on_from(view)
+            self._feed.resume_from(view)
 
     async def sweep(self) -> None:
         """End lost drains that were not written again in time; run until cancelled."""
--- a/src/piershore/ingress/followers/endpoint_follower.py
+++ b/src/piershore/ingress/followers/endpoint_follower.py
@@ -9,7 +9,7 @@
 
 from piershore.core.fleet.endpoint import Endpoint, EndpointStage
 from piershore.core.fleet.endpoint_directory import Departure
-from piershore.core.fleet.peer_report import DepartureNote
+from piershore.core.fleet.peer_report import DepartureReport
 from piershore.core.fleet.store_revision import StoreRevision
 from piershore.ingress.followers.store_follower import StoreFollower
 from piershore.ingress.gateway_state import GatewayState
@@ -19,7 +19,7 @@
 
 DOUBT_SECONDS = 3.0
 """An entry removed this soon after an outage may only have expired during it."""
-TOGETHER_SECONDS = 0.03
+BATCH_SECONDS = 0.03
 """Pause after changes, so that simultaneous ones (engines that leave together) share a
 call. Each call has a cost and each change wakes all watchers; the shortest notice of an
 engine is fifty times longer."""
@@ -56,33 +56,33 @@
         """Drop entries that did not return after an outage; run until cancelled."""
         while True:
             await trio.sleep(SWEEP_SECONDS)
-            if not self.link.is_out:
+            if not self.health.is_out:
                 now = trio.current_time()
-                self.take_departures(self._state.directory.drop_lapsed(now))
+                self.handle_departures(self._state.directory.drop_expired(now))
 
-    def take_from_peer(
+    def apply_from_peer(
         self, endpoints: Iterable[Endpoint], revision: StoreRevision
     ) -> None:
         """Apply a peer's list if it is newer; used without a watch of the store."""
         if revision > self._state.directory.revision:
             self._take_all(tuple(endpoints), revision, after_outage=False)
 
-    def note_departed(self, note: DepartureNote) -> None:
+    def apply_departure(self, note: DepartureReport) -> None:
         """Apply a peer's report that an endpoint leaves, was removed or restarted."""
         directory = self._state.directory
         if note.is_restarted:
-            self.take_departures(directory.mark_restarted(note.identity))
+            self.handle_departures(directory.mark_restarted(note.identity))
             return
         if not note.is_gone:
-            self.take_departures(directory.mark_leaving(note.identity))
+            self.handle_departures(directory.mark_leaving(note.identity))
             return
         now = trio.current_time()
-        self.take_departures(directory.remove(note.identity, now, after_outage=False))
+        self.handle_departures(directory.remove(note.identity, now, after_outage=False))
 
     async def _read(self) -> StoreRevision:
         endpoints, revision = await self._feed.read()
         for endpoint in endpoints:
-            self._state.cold.note_entry(endpoint, trio.current_time())
+            self._state.cold_starts.record_entry(endpoint, trio.current_time())
         self._take_all(endpoints, revision, after_outage=self._is_after_outage())
         self._log_findings()
         return revision
@@ -95,15 +95,15 @@
         self._state.directory.advance(reached)
         self._log_findings()
         if changes:
-            await trio.sleep(TOGETHER_SECONDS)
+            await trio.sleep(BATCH_SECONDS)
         return reached
 
     def _log_findings(self) -> None:
-        for finding in self._feed.take_findings():
+        for finding in self._feed.pop_findings():
             self._state.log.write(InvalidEntry("endpoint", finding), is_failure=True)
 
     def _is_after_outage(self) -> bool:
-        return self.link.seconds_since_outage() < DOUBT_SECONDS
+        return self.health.seconds_since_outage() < DOUBT_SECONDS
 
     def _take_all(
         self,
@@ -119,7 +119,7 @@
             endpoints, revision, now, after_outage=after_outage
         )
         self._is_known = True
-        self.take_departures(departures)
+        self.handle_departures(departures)
 
     def _note_starts(self, endpoints: Iterable[Endpoint], now: float) -> None:
         """Record endpoints that weren't known as just started.
@@ -128,7 +128,7 @@
         """
         for endpoint in endpoints:
             if self._state.directory.get(endpoint.identity) is None:
-                self._state.cold.note_started(endpoint, now)
+                self._state.cold_starts.record_start(endpoint, now)
 
     def _take_changes(self, changes: tuple[EndpointChange, ...]) -> None:
         now = trio.current_time()
@@ -136,14 +136,14 @@
         directory = self._state.directory
         for change in changes:
             if change.endpoint is not None:
-                self._state.cold.note_entry(change.endpoint, now)
-                self.take_departures(directory.put(change.endpoint))
+                self._state.cold_starts.record_entry(change.endpoint, now)
+                self.handle_departures(directory.put(change.endpoint))
                 continue
             known = self._known(change)
             if known is None:
                 continue
             in_doubt = known.service in doubtful or self._is_after_outage()
-            self.take_departures(
+            self.handle_departures(
                 directory.remove(known.identity, now, after_outage=in_doubt)
             )
 
@@ -169,7 +169,7 @@
         directory = self._state.directory
         return directory.get(directory.identity_of(change.name) or change.name)
 
-    def take_departures(self, departures: Iterable[Departure]) -> None:
+    def handle_departures(self, departures: Iterable[Departure]) -> None:
         """Handle departures of endpoints, detected or reported in any way."""
         for departure in departures:
             self._on_departure(departure)
--- a/src/piershore/ingress/followers/store_follower.py
+++ b/src/piershore/ingress/followers/store_follower.py
@@ -9,7 +9,7 @@
 
 from piershore.core.fleet.store_revision import StoreRevision
 from piershore.errors import PiershoreError
-from piershore.ingress.followers.store_link import StoreLink
+from piershore.ingress.followers.store_health import StoreHealth
 from piershore.ingress.gateway_state import GatewayState
 from piershore.ingress.ports import StoreFeed
 from piershore.platform.exceptions import WatchGapError
@@ -60,8 +60,8 @@
         self._scope: trio.CancelScope | None = None
         self._settled_at = float("-inf")
         self._should_watch: Callable[[], bool] = always
-        self.link = StoreLink(
-            f"store: {name}", state.random, state.log, lambda: feed.heard_at
+        self.health = StoreHealth(
+            f"store: {name}", state.random, state.log, lambda: feed.last_received_at
         )
 
     @property
@@ -81,7 +81,7 @@
             with trio.CancelScope() as self._scope:
                 await self._follow()
 
-    def use_watchers(self, should_watch: Callable[[], bool]) -> None:
+    def set_watch_condition(self, should_watch: Callable[[], bool]) -> None:
         """Don't watch the store while `should_watch` returns false: others do."""
         self._should_watch = should_watch
 
@@ -116,17 +116,17 @@
             try:
                 await self._step()
                 self._note_era()
-                self.link.note_success()
+                self.health.record_success()
             except WatchGapError:
                 self._revision = None
             except PiershoreError as error:
                 # An interrupted watch may have missed changes: read the whole state.
                 self._revision = None
-                await self.link.note_failure(f"{error.code}: {error.message}")
+                await self.health.back_off(f"{error.code}: {error.message}")
 
     def _note_era(self) -> None:
         """Log a restore of the store from an older copy, and invalid eras."""
-        finding = self._feed_to_follow.take_era_finding()
+        finding = self._feed_to_follow.pop_era_finding()
         if finding:
             self._state.log.write(InvalidEntry("store era", finding), is_failure=True)
         if self._revision is None:
@@ -146,14 +146,14 @@
     async def _step(self) -> None:
         try:
             if self._revision is None:
-                self.link.expect_answer(0.0)
+                self.health.expect_answer(0.0)
                 self._revision = await self._read()
                 return
             wait = self._watch_seconds * self._state.random.uniform(*WATCH_PARTS)
-            self.link.expect_answer(wait)
+            self.health.expect_answer(wait)
             self._revision = await self._take_changes_after(self._revision, wait)
         finally:
-            self.link.expect_nothing()
+            self.health.clear_expected_answer()
         await self._settle()
 
     async def _settle(self) -> None:
--- a/src/piershore/ingress/followers/store_link.py
+++ b/src/piershore/ingress/followers/store_health.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from piershore.core.fleet.store_silence import OVERDUE_SECONDS, StoreSign
+from piershore.core.fleet.store_silence import OVERDUE_SECONDS, StoreLiveness
 from piershore.telemetry.event_log import EventLog
 from piershore.telemetry.events import DependencyLost, DependencyRegained
 
@@ -19,7 +19,7 @@
 """One failure may be an interrupted watch; the second in a row is an outage."""
 
 
-class StoreLink:
+class StoreHealth:
     """Counts consecutive failures of calls, and backs off after each."""
 
     def __init__(
@@ -44,7 +44,7 @@
         """Return the seconds since the last failure in an outage of the store."""
         return trio.current_time() - self._last_outage
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Record a call that was answered."""
         if self.is_out:
             seconds = trio.current_time() - self._failing_since
@@ -56,11 +56,11 @@
         """Record that a call should be answered within so many seconds."""
         self._due_at = trio.current_time() + within
 
-    def expect_nothing(self) -> None:
+    def clear_expected_answer(self) -> None:
         """Record that no call is in progress."""
         self._due_at = float("inf")
 
-    def sign(self) -> StoreSign:
+    def liveness(self) -> StoreLiveness:
         """Return the age of the last answer, and whether one is overdue.
 
         An answer that is still being received is neither old nor overdue.
@@ -68,13 +68,13 @@
         now = trio.current_time()
         heard_at = self._heard_at()
         is_overdue = now - max(self._due_at, heard_at) > OVERDUE_SECONDS
-        return StoreSign(now - max(self._last_success, heard_at), is_overdue)
+        return StoreLiveness(now - max(self._last_success, heard_at), is_overdue)
 
     def is_fresh(self, longest: float) -> bool:
         """Return whether a call was answered within the last `longest` seconds."""
         return trio.current_time() - self._last_success < longest
 
-    async def note_failure(self, reason: str) -> None:
+    async def back_off(self, reason: str) -> None:
         """Record a failed call, and wait before the next; the wait grows each time."""
         if not self._failures:
             self._failing_since = trio.current_time()
--- a/src/piershore/ingress/gateway_state.py
+++ b/src/piershore/ingress/gateway_state.py
@@ -8,33 +8,33 @@
 
 import trio
 
-from piershore.core.attempts.leaving import AT_ONCE_SECONDS
-from piershore.core.attempts.retry_allowance import RetryAllowance, RetryLimits
-from piershore.core.fleet.asked_rests import AskedRests
+from piershore.core.attempts.leaving import IMMEDIATE_RETRY_SECONDS
+from piershore.core.attempts.retry_budget import RetryBudget, RetryLimits
 from piershore.core.fleet.cold_starts import ColdStarts
+from piershore.core.fleet.data_hall_stalls import DataHallStalls
 from piershore.core.fleet.endpoint import Endpoint
 from piershore.core.fleet.endpoint_directory import EndpointDirectory
 from piershore.core.fleet.endpoint_health import EndpointHealth
 from piershore.core.fleet.endpoint_paces import EndpointPaces
 from piershore.core.fleet.endpoint_rate_limits import EndpointRateLimits
 from piershore.core.fleet.fleet_load import FleetLoad
-from piershore.core.fleet.hall_stalls import HallStalls
-from piershore.core.fleet.heard_notices import HeardNotices
 from piershore.core.fleet.length_estimate import LENGTH_EXPECTATIONS
+from piershore.core.fleet.notice_handler import NoticeHandler
 from piershore.core.fleet.output_lengths import OutputLengths
 from piershore.core.fleet.placement import Placement
 from piershore.core.fleet.placement_policy import PLACEMENT_POLICIES
 from piershore.core.fleet.policies import Policies
 from piershore.core.fleet.rate_shares import RateShares
+from piershore.core.fleet.requested_backoffs import RequestedBackoffs
 from piershore.core.fleet.shared_failures import SharedFailures
 from piershore.core.fleet.subsetting import EndpointSubsets
-from piershore.core.limits.return_schedule import ReturnSchedule
+from piershore.core.limits.retry_schedule import RetrySchedule
 from piershore.core.mechanism import Mechanism
 from piershore.core.quarantine.endpoint_runs import EndpointRuns
 from piershore.core.quarantine.quarantine import Quarantine
 from piershore.core.routes.current_configuration import CurrentConfiguration
 from piershore.http1.connection_pool import ConnectionPool
-from piershore.ingress.attempts.crash_watch import CrashWatch
+from piershore.ingress.attempts.crash_detector import CrashDetector
 from piershore.ingress.attempts.endpoint_notices import EndpointNotices
 from piershore.ingress.attempts.rate_limit_monitor import RateLimitMonitor
 from piershore.ingress.ports import RequestDialect
@@ -51,7 +51,7 @@
 
 def _at_once() -> float:
     """Return the delay of retries as long as no peers are known."""
-    return AT_ONCE_SECONDS
+    return IMMEDIATE_RETRY_SECONDS
 
 
 @dataclass
@@ -78,10 +78,10 @@
     configuration: CurrentConfiguration = field(default_factory=CurrentConfiguration)
     directory: EndpointDirectory = field(default_factory=EndpointDirectory)
     health: EndpointHealth = field(default_factory=EndpointHealth)
-    rests: AskedRests = field(default_factory=AskedRests)
+    backoffs: RequestedBackoffs = field(default_factory=RequestedBackoffs)
     paces: EndpointPaces = field(default_factory=EndpointPaces)
     failures: SharedFailures = field(default_factory=SharedFailures)
-    stalls: HallStalls = field(default_factory=HallStalls)
+    stalls: DataHallStalls = field(default_factory=DataHallStalls)
     fleet_load: FleetLoad = field(default_factory=FleetLoad)
     lengths: OutputLengths = field(default_factory=OutputLengths)
     runs: EndpointRuns = field(default_factory=EndpointRuns)
@@ -89,30 +89,30 @@
     pool: ConnectionPool = field(default_factory=ConnectionPool)
     leaving_since: float | None = None
     stops_at: float = float("inf")
-    gateways: int = 1
+    gateway_count: int = 1
     in_flight: int = 0
     announce: Callable[[], None] = _nothing
     announce_failure: Callable[[], None] = _nothing
-    tell_load: Callable[[Endpoint], None] = _tell_nobody
-    seconds_until_taken: Callable[[], float] = _at_once
-    _allowances: dict[str, RetryAllowance] = field(default_factory=dict)
-    _returns: dict[str, ReturnSchedule] = field(default_factory=dict)
+    announce_load: Callable[[Endpoint], None] = _tell_nobody
+    seconds_until_accepted: Callable[[], float] = _at_once
+    _allowances: dict[str, RetryBudget] = field(default_factory=dict)
+    _returns: dict[str, RetrySchedule] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.subsets = EndpointSubsets(self.host, self.directory)
         self.expectation = LENGTH_EXPECTATIONS[self.policies.lengths]()
-        self.crash_watch = CrashWatch(
+        self.crash_detector = CrashDetector(
             self.runs, self.quarantine, self.directory, self.pool, self.log
         )
         shares = RateShares(self.host, self.subsets, self.configuration)
         self.limits = EndpointRateLimits(shares)
-        heard = HeardNotices(self.directory, self.rests, self.limits)
+        heard = NoticeHandler(self.directory, self.backoffs, self.limits)
         self.limit_monitor = RateLimitMonitor(self.limits, self.directory, self.log)
         self.notices = EndpointNotices(
             heard, self.limits, self.limit_monitor, self.dialect, self.log
         )
-        self.pool.listen(self.notices.take)
-        self.cold = ColdStarts(shares, self.configuration)
+        self.pool.listen(self.notices.receive_head)
+        self.cold_starts = ColdStarts(shares, self.configuration)
         self.placement = Placement(
             self.data_hall,
             self.directory,
@@ -122,13 +122,13 @@
             PLACEMENT_POLICIES[self.policies.placement](),
             self.stalls,
             self.subsets,
-            self.cold,
-            self.rests,
+            self.cold_starts,
+            self.backoffs,
             self.limits,
             self.policies.disabled,
         )
 
-    def uses(self, mechanism: Mechanism) -> bool:
+    def is_enabled(self, mechanism: Mechanism) -> bool:
         """Return whether a mechanism is enabled."""
         return mechanism not in self.policies.disabled
 
@@ -137,29 +137,29 @@
         """Whether the process was told to stop."""
         return self.leaving_since is not None
 
-    def allowance(self, service: str) -> RetryAllowance:
+    def retry_budget(self, service: str) -> RetryBudget:
         """Return the retry budget of a service."""
         if service not in self._allowances:
-            self._allowances[service] = RetryAllowance(self.retry_limits)
+            self._allowances[service] = RetryBudget(self.retry_limits)
         return self._allowances[service]
 
-    def returns(self, service: str) -> ReturnSchedule:
+    def retry_schedule(self, service: str) -> RetrySchedule:
         """Return the schedule by which refused callers of a service retry."""
-        return self._returns.setdefault(service, ReturnSchedule())
+        return self._returns.setdefault(service, RetrySchedule())
 
     def retries_left(self) -> Iterator[tuple[str, float]]:
         """Yield the remaining retry budget of each service that was called."""
         now = trio.current_time()
         for service, allowance in self._allowances.items():
-            yield service, allowance.left(now, self.gateways)
+            yield service, allowance.remaining(now, self.gateway_count)
 
-    def note_success(self, identity: str) -> None:
+    def record_success(self, identity: str) -> None:
         """Record an attempt that an endpoint answered successfully."""
-        self.health.note_success(identity)
-        self.failures.note(identity, trio.current_time(), failed=False)
+        self.health.record_success(identity)
+        self.failures.record(identity, trio.current_time(), failed=False)
 
-    def may_retry(self, service: str) -> bool:
+    def spend_retry(self, service: str) -> bool:
         """Spend a retry of the budget; return False if none is left."""
-        if not self.uses(Mechanism.SECOND_RUNS):
+        if not self.is_enabled(Mechanism.SECOND_RUNS):
             return False
-        return self.allowance(service).spend(trio.current_time(), self.gateways)
+        return self.retry_budget(service).spend(trio.current_time(), self.gateway_count)
--- a/src/piershore/ingress/live_stream.py
+++ b/src/piershore/ingress/live_stream.py
@@ -8,7 +8,7 @@
 import trio
 
 from piershore.core.fleet.endpoint import Endpoint
-from piershore.core.fleet.evacuation_plan import StreamNote
+from piershore.core.fleet.evacuation_plan import StreamReport
 from piershore.core.fleet.generation_work import GenerationWork
 from piershore.core.streams.delivered_events import DeliveredEvents
 from piershore.ingress.callers.exchange import Exchange
@@ -34,13 +34,13 @@
     source: Endpoint
     target: Endpoint
     copy: MemoryCopy | None = None
-    noticed: float = float("-inf")
+    noticed_at: float = float("-inf")
     run_stopped: bool = False
     is_settled: trio.Event = field(default_factory=trio.Event)
 
-    def places(self, now: float) -> tuple[Endpoint, ...]:
+    def continuation_endpoints(self, now: float) -> tuple[Endpoint, ...]:
         """Return where the stream may continue; at the source only for a short time."""
-        if now - self.noticed > BACK_AT_SOURCE_SECONDS:
+        if now - self.noticed_at > BACK_AT_SOURCE_SECONDS:
             return (self.target,)
         return self.target, self.source
 
@@ -65,7 +65,7 @@
     reading_scope: trio.CancelScope | None = None
     waiting_since: float | None = None
     moves: int = 0
-    leg_began_at: float = float("inf")
+    endpoint_first_event_at: float = float("inf")
     last_event_at: float = 0.0
     longest_pause: float = 0.0
     first_seconds: float = 0.0
@@ -76,40 +76,40 @@
         if self.reading_scope is not None:
             self.reading_scope.cancel()
 
-    def settle_at(self, endpoint: Endpoint, backup: Endpoint | None) -> None:
+    def continue_at(self, endpoint: Endpoint, backup: Endpoint | None) -> None:
         """Continue at another endpoint."""
         self.endpoint = endpoint
         self.backup = backup
         self.handover = None
         self.is_given_up = False
-        self.leg_began_at = float("inf")
+        self.endpoint_first_event_at = float("inf")
         self.waiting_since = None
         self.moves += 1
 
     @property
     def has_backup(self) -> bool:
         """Whether another endpoint has a complete copy of its memory by now."""
-        begun_for = trio.current_time() - self.leg_began_at
+        begun_for = trio.current_time() - self.endpoint_first_event_at
         return self.backup is not None and begun_for > BACKUP_SECONDS
 
-    def note(self) -> StreamNote:
+    def report(self) -> StreamReport:
         """Return the report that peers get when the endpoint leaves."""
-        return StreamNote(
+        return StreamReport(
             self.exchange.identity,
             self.work.held_tokens,
             self.work.has_begun,
             self.has_backup,
         )
 
-    def note_events(self, count: int, now: float, tokens_an_event: int) -> None:
+    def record_events(self, count: int, now: float, tokens_an_event: int) -> None:
         """Record events that were forwarded to the caller."""
         if not self.work.has_begun:
             self.work.has_begun = True
             self.first_seconds = self.exchange.age
         else:
             self.longest_pause = max(self.longest_pause, now - self.last_event_at)
-        if self.leg_began_at == float("inf"):
-            self.leg_began_at = now
+        if self.endpoint_first_event_at == float("inf"):
+            self.endpoint_first_event_at = now
         self.last_event_at = now
         self.work.made_tokens += count * tokens_an_event
 
@@ -171,17 +171,17 @@
         """Record that the copy has ended."""
         self._copied_from.pop(id(stream), None)
 
-    def notes(self, identity: str) -> Iterator[StreamNote]:
+    def reports(self, identity: str) -> Iterator[StreamReport]:
         """Yield a report on each stream that an endpoint runs or copies.
 
         A copy occupies the endpoint's link even if its stream has ended.
         """
-        for stream in self.at(identity):
-            yield stream.note()
+        for stream in self.running_at(identity):
+            yield stream.report()
         for source, stream in self._copied_from.values():
             if source == identity and not self.is_live(stream):
-                yield stream.note()
+                yield stream.report()
 
-    def at(self, identity: str) -> list[LiveStream]:
+    def running_at(self, identity: str) -> list[LiveStream]:
         """Return the streams that an endpoint runs."""
         return [s for s in self._streams.values() if s.endpoint.identity == identity]
--- a/src/piershore/ingress/moves/copy_calls.py
+++ b/src/piershore/ingress/moves/move_client.py
@@ -17,7 +17,7 @@
 """Maximum idle time of a pooled connection that a move reuses."""
 
 
-class CopyCalls:
+class MoveClient:
     """Copies the memory of a generation, stops the generation, or frees a copy.
 
     A failed call is logged and returns None.
--- a/src/piershore/ingress/moves/move_coordinator.py
+++ b/src/piershore/ingress/moves/move_coordinator.py
@@ -17,11 +17,11 @@
 from piershore.core.fleet.endpoint import Endpoint
 from piershore.core.fleet.evacuation_plan import (
     choose_targets,
-    MoveWay,
+    MoveMethod,
     plan_evacuation,
     PlannedMove,
 )
-from piershore.core.fleet.fleet_load import CopyWork
+from piershore.core.fleet.fleet_load import MoveTargetWork
 from piershore.core.mechanism import Mechanism
 from piershore.core.routes.service_spec import EngineSpec
 from piershore.ingress.gateway_state import GatewayState
@@ -31,7 +31,7 @@
     LiveStream,
     LiveStreams,
 )
-from piershore.ingress.moves.copy_calls import CopyCalls
+from piershore.ingress.moves.move_client import MoveClient
 from piershore.ingress.peers.peer_link import PeerLink
 from piershore.ingress.ports import GenerationMover, MoveResult
 from piershore.telemetry import ingress_metrics
@@ -72,12 +72,12 @@
 
     source: Endpoint
     engine: EngineSpec
-    noticed: float
+    noticed_at: float
     reason: MoveReason
 
     def handover_to(self, target: Endpoint) -> Handover:
         """Return a move to one target."""
-        return Handover(self.source, target, noticed=self.noticed)
+        return Handover(self.source, target, noticed_at=self.noticed_at)
 
 
 class MoveCoordinator:
@@ -88,7 +88,7 @@
     ) -> None:
         self._state = state
         self._live = live
-        self._calls = CopyCalls(state, mover)
+        self._calls = MoveClient(state, mover)
         self._nursery: trio.Nursery | None = None
         self._peers: PeerLink | None = None
 
@@ -99,7 +99,9 @@
 
     def evacuate(self, source: Endpoint) -> None:
         """Move all streams away from an endpoint that leaves."""
-        streams = [s for s in self._live.at(source.identity) if s.handover is None]
+        streams = [
+            s for s in self._live.running_at(source.identity) if s.handover is None
+        ]
         if streams:
             self._start(source, streams, MoveReason.ENDPOINT_LEAVES)
 
@@ -116,7 +118,7 @@
         engine = self._engine(source.service)
         if engine is None or not engine.can_move or self._nursery is None:
             return
-        if not self._state.uses(Mechanism.MOVES):
+        if not self._state.is_enabled(Mechanism.MOVES):
             return
         evacuation = Evacuation(source, engine, trio.current_time(), reason)
         self._nursery.start_soon(self._guard, evacuation, streams)
@@ -145,11 +147,13 @@
 
     def _plan(self, evacuation: Evacuation) -> tuple[PlannedMove, ...]:
         source = evacuation.source
-        notes = {note.request: note for note in self._live.notes(source.identity)}
-        notes.update((n.request, n) for n in self._peers.notes_at(source.identity))
+        notes = {note.request: note for note in self._live.reports(source.identity)}
+        notes.update(
+            (n.request, n) for n in self._peers.reported_streams_at(source.identity)
+        )
         # A crashed endpoint stays listed for seconds, but is ejected sooner.
         now = trio.current_time()
-        sound = self._state.placement.sound_of(source.service, now)
+        sound = self._state.placement.available_endpoints(source.service, now)
         targets = choose_targets(source, sound)
         loads = {t.identity: self._state.fleet_load.at(t.identity) for t in targets}
         return plan_evacuation(
@@ -160,15 +164,19 @@
         self, stream: LiveStream, evacuation: Evacuation, planned: PlannedMove | None
     ) -> None:
         """Copy the stream's memory, then continue it at the target."""
-        if planned is not None and planned.way is MoveWay.BACKUP and stream.has_backup:
+        if (
+            planned is not None
+            and planned.method is MoveMethod.BACKUP
+            and stream.has_backup
+        ):
             self._switch_to_backup(stream, evacuation)
             return
         if planned is not None:
-            await trio.sleep_until(evacuation.noticed + planned.start)
+            await trio.sleep_until(evacuation.noticed_at + planned.start)
         if not await self._wait_for_begin(stream, evacuation.source):
             return
         target = planned.target if planned else None
-        until = evacuation.noticed + LONGEST_NOTICE_SECONDS
+        until = evacuation.noticed_at + LONGEST_NOTICE_SECONDS
         while not await self._try_targets(stream, evacuation, target):
             target = None
             await trio.sleep(NO_ROOM_SECONDS)
@@ -196,11 +204,11 @@
         """Move the stream to one target; return False if another may be tried."""
         handover = stream.handover = evacuation.handover_to(target)
         self._log_start(stream, evacuation, target)
-        reservation = CopyWork(stream.work)
+        reservation = MoveTargetWork(stream.work)
         self._state.fleet_load.add(target.identity, reservation)
-        self._state.tell_load(target)
+        self._state.announce_load(target)
         try:
-            if not self._state.uses(Mechanism.FIRST_COPIES):
+            if not self._state.is_enabled(Mechanism.FIRST_COPIES):
                 return await self._stop_and_copy(stream, evacuation, handover)
             copied = await self._copy(stream, handover)
             if copied is None:
@@ -208,7 +216,7 @@
             handover.copy = copied.copy
             request = stream.exchange.identity
             if self._is_at(stream, handover.source):
-                await self._calls.stop(request, handover, evacuation.noticed)
+                await self._calls.stop(request, handover, evacuation.noticed_at)
                 self._nursery.start_soon(self._end_reading, stream, handover)
             elif not self._live.is_live(stream):
                 await self._calls.release(request, handover, copied.copy)
@@ -234,7 +242,7 @@
     ) -> bool:
         """Move without a copy before the stop; used when `FIRST_COPIES` is disabled."""
         result = await self._calls.stop(
-            stream.exchange.identity, handover, evacuation.noticed
+            stream.exchange.identity, handover, evacuation.noticed_at
         )
         handover.copy = result.copy if result else None
         return True
--- a/src/piershore/ingress/peers/document_reader.py
+++ b/src/piershore/ingress/peers/document_reader.py
@@ -6,11 +6,11 @@
 
 import trio
 
+from piershore.core.documents.chunks_reply import ChunksReply
+from piershore.core.documents.chunks_request import ChunksRequest
 from piershore.core.documents.document import Document
-from piershore.core.documents.document_assembly import DocumentAssembly
-from piershore.core.documents.exceptions import InvalidPartsError
-from piershore.core.documents.parts_reply import PartsReply
-from piershore.core.documents.parts_request import PartsRequest
+from piershore.core.documents.document_assembler import DocumentAssembler
+from piershore.core.documents.exceptions import InvalidChunksError
 from piershore.core.fleet.endpoint import Address
 from piershore.http1.client_connection import ClientConnection
 from piershore.http1.exceptions import ExchangeBrokenError, NotConnectedError
@@ -33,7 +33,7 @@
         self._path = path
         self._port = port
         self._log = log
-        self._assembly = DocumentAssembly()
+        self._assembly = DocumentAssembler()
         self._received = 0
 
     async def read(self, host: str, own: Document | None) -> Document | None:
@@ -46,7 +46,7 @@
         document, reason = None, ""
         try:
             document = await self._read(host, own)
-        except (NotConnectedError, ExchangeBrokenError, InvalidPartsError) as error:
+        except (NotConnectedError, ExchangeBrokenError, InvalidChunksError) as error:
             reason = error.message
         name, seconds = self._path.decode(), trio.current_time() - started
         self._log.write(
@@ -62,7 +62,7 @@
             while True:
                 request = self._assembly.request(own)
                 reply = await self._ask(connection, host, request)
-                document = self._assembly.take(reply, own)
+                document = self._assembly.receive_reply(reply, own)
                 if document is not None:
                     return document
                 if self._assembly.request(own) == request:
@@ -74,8 +74,8 @@
                 await connection.close()
 
     async def _ask(
-        self, connection: ClientConnection, host: str, request: PartsRequest
-    ) -> PartsReply:
+        self, connection: ClientConnection, host: str, request: ChunksRequest
+    ) -> ChunksReply:
         body = request.encode()
         headers = (
             (b"host", str(Address(host, self._port)).encode()),
@@ -89,11 +89,11 @@
             message = f"no answer after {STALLED_SECONDS:g} s"
             raise ExchangeBrokenError(message) from error
         parts = []
-        async for part in connection.read_parts(STALLED_SECONDS):
+        async for part in connection.read_chunks(STALLED_SECONDS):
             self._received += len(part)
             parts.append(part)
         if answer.status != HTTPStatus.OK:
             raise ExchangeBrokenError(f"the peer answered {answer.status}")
         if not connection.end_exchange():
             raise ExchangeBrokenError("the peer closed the connection")
-        return PartsReply.decode(b"".join(parts))
+        return ChunksReply.decode(b"".join(parts))
--- a/src/piershore/ingress/peers/document_server.py
+++ b/src/piershore/ingress/peers/document_server.py
@@ -7,10 +7,10 @@
 
 import trio
 
+from piershore.core.documents.chunks_reply import ChunksReply
+from piershore.core.documents.chunks_request import ChunksRequest
 from piershore.core.documents.document import Document
-from piershore.core.documents.exceptions import InvalidPartsError
-from piershore.core.documents.parts_reply import PartsReply
-from piershore.core.documents.parts_request import PartsRequest
+from piershore.core.documents.exceptions import InvalidChunksError
 from piershore.core.routes.client_limits import ClientLimits
 from piershore.http1.exceptions import BadRequestError
 from piershore.http1.message import RequestHead
@@ -41,7 +41,7 @@
                 await self._answer(connection, head, await connection.read_body())
                 if not connection.start_next():
                     break
-        except (BadRequestError, InvalidPartsError, trio.BrokenResourceError) as error:
+        except (BadRequestError, InvalidChunksError, trio.BrokenResourceError) as error:
             self._log.write(DependencyLost("peer's read", str(error)))
         finally:
             with trio.CancelScope(shield=True):
@@ -62,7 +62,7 @@
         key = (path, document.revision, document.digests, request)
         reply = self._replies.get(key)
         if reply is None:
-            reply = PartsReply.of(document, PartsRequest.decode(request)).encode()
+            reply = ChunksReply.of(document, ChunksRequest.decode(request)).encode()
             self._replies[key] = reply
             while len(self._replies) > REPLIES_KEPT:
                 del self._replies[next(iter(self._replies))]
--- a/src/piershore/ingress/peers/endpoint_document.py
+++ b/src/piershore/ingress/peers/endpoint_document.py
@@ -31,13 +31,13 @@
             self._document = Document(directory.revision, parts)
             self._fingerprint = directory.fingerprint
         if self._document.revision != directory.revision:
-            self._document = Document(directory.revision, self._document.parts)
+            self._document = Document(directory.revision, self._document.chunks)
         return self._document
 
 
 def read_endpoints(document: Document) -> Iterator[Endpoint]:
     """Yield a peer's endpoints; raise ValueError if an entry can't be read."""
-    for entry in join(document.parts)[FIELD]:
+    for entry in join(document.chunks)[FIELD]:
         name, service, address, data_hall, slots, stage, born = entry
         yield Endpoint(
             name,
--- a/src/piershore/ingress/peers/load_notes.py
+++ b/src/piershore/ingress/peers/load_update_sender.py
@@ -5,14 +5,14 @@
 import trio
 
 from piershore.core.fleet.endpoint import Endpoint
-from piershore.core.fleet.load_note import LoadNote
-from piershore.core.fleet.report_pace import SHORTEST_GAP_SECONDS
+from piershore.core.fleet.load_update import LoadUpdate
+from piershore.core.fleet.report_timing import MIN_TRIGGERED_INTERVAL_SECONDS
 from piershore.ingress.gateway_state import GatewayState
 from piershore.ingress.peers.peer_link import PeerLink
 from piershore.telemetry import ingress_metrics
 
 
-class LoadNotes:
+class LoadUpdateSender:
     """Sends updates of this gateway's load at endpoints that got new work."""
 
     def __init__(self, state: GatewayState, link: PeerLink) -> None:
@@ -21,7 +21,7 @@
         self._changed: dict[str, Endpoint] = {}
         self._wake = trio.Event()
 
-    def note_new_work(self, endpoint: Endpoint) -> None:
+    def schedule_update(self, endpoint: Endpoint) -> None:
         """Send this gateway's load at an endpoint soon."""
         self._changed[endpoint.identity] = endpoint
         self._wake.set()
@@ -33,14 +33,14 @@
         """
         while True:
             await self._wake.wait()
-            await trio.sleep(SHORTEST_GAP_SECONDS)
+            await trio.sleep(MIN_TRIGGERED_INTERVAL_SECONDS)
             self._wake = trio.Event()
             changed, self._changed = self._changed, {}
             for endpoint in changed.values():
                 await self._tell(endpoint)
 
     async def _tell(self, endpoint: Endpoint) -> None:
-        note = LoadNote(
+        note = LoadUpdate(
             self._link.host,
             self._link.incarnation,
             self._link.next_number(),
--- a/src/piershore/ingress/peers/outage_watch.py
+++ b/src/piershore/ingress/peers/outage_prober.py
@@ -17,7 +17,7 @@
 from piershore.ingress.followers.endpoint_follower import EndpointFollower
 from piershore.ingress.gateway_state import GatewayState
 from piershore.ingress.peers.peer_link import PeerLink
-from piershore.ingress.ports import EndpointReports
+from piershore.ingress.ports import EndpointProber
 
 ASK_SECONDS = 0.25
 """Interval between probes of one engine: a report is about 0.5 s old, an engine ends
@@ -27,14 +27,14 @@
 IDLE_SECONDS = 2.0
 
 
-class OutageWatch:
+class OutageProber:
     """Probes the engines that this gateway is responsible for."""
 
     def __init__(
         self,
         state: GatewayState,
         host: str,
-        reports: EndpointReports,
+        reports: EndpointProber,
         endpoints: EndpointFollower,
         peers: PeerLink,
     ) -> None:
@@ -58,7 +58,9 @@
         """Return whether no gateway can learn from the store that an engine leaves."""
         if self._peers.store_seems_silent():
             return True
-        return self._endpoints.link.is_out and not self._peers.hears_store_reader()
+        return (
+            self._endpoints.health.is_out and not self._peers.has_peer_reading_store()
+        )
 
     def _to_ask(self) -> Iterator[Endpoint]:
         hosts = [self._host, *self._peers.living_hosts()]
@@ -81,8 +83,8 @@
                 async with self._state.pool.borrow(
                     endpoint, IDLE_SECONDS
                 ) as connection:
-                    report = await self._reports.ask(connection, endpoint.address)
+                    report = await self._reports.probe(connection, endpoint.address)
             except (ExchangeBrokenError, NotConnectedError):
                 # Other faults of the endpoint show up in its traffic.
                 return
-            self._state.notices.take_report(endpoint, report)
+            self._state.notices.receive_report(endpoint, report)
--- a/src/piershore/ingress/peers/peer_documents.py
+++ b/src/piershore/ingress/peers/peer_documents.py
@@ -101,7 +101,7 @@
         version = self._state.configuration.version
         return self._pick(
             peer
-            for peer in self._link.table.living(now)
+            for peer in self._link.table.live_peers(now)
             if peer.report.config_version > version
         )
 
@@ -117,7 +117,7 @@
         revision = self._state.directory.revision
         return self._pick(
             peer
-            for peer in self._link.table.living(now)
+            for peer in self._link.table.live_peers(now)
             if (peer.report.reads_store or not is_known)
             and peer.report.endpoint_revision > revision
             and peer.report.fingerprint != own
@@ -135,11 +135,11 @@
         own = self._configuration.document
         document = await self._configuration_reader.read(peer.host, own)
         if document is not None:
-            await self._configuration.take(document, f"peer {peer.host}")
+            await self._configuration.apply(document, f"peer {peer.host}")
 
     async def _mend_endpoints(self, peer: Peer) -> None:
         """Read the store again; without a working watch, read the peer's list."""
-        watches = self._link.should_watch() and not self._endpoints.link.is_out
+        watches = self._link.should_watch() and not self._endpoints.health.is_out
         if self._endpoints.is_known and watches:
             self._endpoints.restart()
             return
@@ -155,4 +155,4 @@
                 is_failure=True,
             )
             return
-        self._endpoints.take_from_peer(endpoints, document.revision)
+        self._endpoints.apply_from_peer(endpoints, document.revision)
--- a/src/piershore/ingress/ports.py
+++ b/src/piershore/ingress/ports.py
@@ -6,13 +6,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from piershore.core.documents.document import Document, DocumentPart
+from piershore.core.documents.document import Document, DocumentChunk
 from piershore.core.fleet.drained_halls import DrainedHalls
 from piershore.core.fleet.endpoint import Address, Endpoint
 from piershore.core.fleet.endpoint_notice import EndpointNotice
 from piershore.core.fleet.generation_work import GenerationSize
 from piershore.core.fleet.store_revision import StoreRevision
-from piershore.core.routes.configuration_piece import ConfigurationPiece
+from piershore.core.routes.partial_configuration import PartialConfiguration
 from piershore.core.routes.serving_configuration import (
     AccountRef,
     ServingConfiguration,
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class ForwardOrder:
+class ForwardingOptions:
     """What the gateway adds to a request that it forwards; times are in seconds."""
 
     time_left: float
@@ -66,12 +66,12 @@
     status: int
     was_not_run: bool
     is_wrong_instance: bool
-    is_sound: bool
+    is_valid: bool
 
     @property
     def is_success(self) -> bool:
         """Whether the endpoint served the request."""
-        return self.is_sound and 200 <= self.status < 300
+        return self.is_valid and 200 <= self.status < 300
 
 
 @dataclass(frozen=True)
@@ -89,17 +89,17 @@
         """Decode a caller's request; raise `BadRequestError` if it is malformed."""
 
     @abstractmethod
-    def for_endpoint(
+    def build_forwarded_head(
         self,
         request: CallerRequest,
         body_length: int,
         endpoint: Endpoint,
-        order: ForwardOrder,
+        order: ForwardingOptions,
     ) -> RequestHead:
         """Return the head of the request to the endpoint."""
 
     @abstractmethod
-    def is_own_answer(self, request: CallerRequest, head: ResponseHead) -> bool:
+    def is_answer_to(self, request: CallerRequest, head: ResponseHead) -> bool:
         """Return whether an answer belongs to this request and to no other."""
 
     @abstractmethod
@@ -111,11 +111,11 @@
         """Decode the notice of an endpoint that accompanies its answer."""
 
     @abstractmethod
-    def answer_headers(self, head: ResponseHead) -> Headers:
+    def forwarded_answer_headers(self, head: ResponseHead) -> Headers:
         """Return those of the endpoint's headers that are forwarded to the caller."""
 
     @abstractmethod
-    def own_headers(
+    def gateway_answer_headers(
         self, request: CallerRequest | None, retry_after: float | None
     ) -> Headers:
         """Return the headers of an answer that the gateway generates itself."""
@@ -144,11 +144,11 @@
         """Free a copy that will not be used."""
 
 
-class EndpointReports(ABC):
+class EndpointProber(ABC):
     """Probes endpoints for reports about themselves."""
 
     @abstractmethod
-    async def ask(
+    async def probe(
         self, connection: ClientConnection, address: Address
     ) -> EndpointReport:
         """Request an endpoint's report; raise `ExchangeBrokenError`."""
@@ -173,11 +173,11 @@
 
     @property
     @abstractmethod
-    def heard_at(self) -> float:
+    def last_received_at(self) -> float:
         """When bytes of an answer were last received, by trio's clock."""
 
     @abstractmethod
-    def take_era_finding(self) -> str:
+    def pop_era_finding(self) -> str:
         """Return what was wrong with the era of answers, each fault only once."""
 
     @abstractmethod
@@ -199,11 +199,11 @@
         """Wait for a newer document; raise `WatchGapError` after a gap."""
 
     @abstractmethod
-    def decode_part(self, part: DocumentPart) -> ConfigurationPiece:
+    def decode_chunk(self, part: DocumentChunk) -> PartialConfiguration:
         """Decode one chunk of a document."""
 
     @abstractmethod
-    def join(self, pieces: Iterable[ConfigurationPiece]) -> ServingConfiguration:
+    def join(self, pieces: Iterable[PartialConfiguration]) -> ServingConfiguration:
         """Join the decoded chunks of a complete document."""
 
 
@@ -219,7 +219,7 @@
         """Wait for changes; raise `WatchGapError` after a gap."""
 
     @abstractmethod
-    def go_on_from(self, drained: DrainedHalls) -> None:
+    def resume_from(self, drained: DrainedHalls) -> None:
         """Continue from the view of a peer, to watch for later changes."""
 
 
@@ -237,5 +237,5 @@
         """Wait for changes; raise `WatchGapError` after a gap."""
 
     @abstractmethod
-    def take_findings(self) -> list[str]:
+    def pop_findings(self) -> list[str]:
         """Return the errors found in entries since the last call."""
