--- a/src/piershore/ingress/streams/silence_watch.py
+++ b/src/piershore/ingress/streams/silence_watch.py
@@ -9,19 +9,19 @@
 import trio
 
 from piershore.core.fleet.endpoint import Endpoint
-from piershore.core.standstill import stood_still
+from piershore.core.process_pause import was_paused
 from piershore.core.streams.silence import (
     EndpointReport,
-    judge_silence,
-    SilenceVerdict,
+    evaluate_silence,
+    SilenceDecision,
     SilentStream,
 )
 from piershore.http1.exceptions import ExchangeBrokenError, NotConnectedError
-from piershore.ingress.attempts.attempt_log import note_ejection
+from piershore.ingress.attempts.attempt_log import log_ejection
 from piershore.ingress.gateway_state import GatewayState
 from piershore.ingress.live_stream import LiveStream, LiveStreams
 from piershore.ingress.moves.move_coordinator import MoveCoordinator, MoveReason
-from piershore.ingress.ports import EndpointReports
+from piershore.ingress.ports import EndpointProber
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import StreamSilent
 
@@ -55,7 +55,7 @@
         state: GatewayState,
         live: LiveStreams,
         moves: MoveCoordinator,
-        reports: EndpointReports,
+        reports: EndpointProber,
     ) -> None:
         self._state = state
         self._live = live
@@ -71,7 +71,7 @@
                 due = trio.current_time() + CHECK_SECONDS
                 await trio.sleep_until(due)
                 now = trio.current_time()
-                if stood_still(due, now):
+                if was_paused(due, now):
                     self._awake_since = now
                 for streams in self._silent_by_endpoint(now):
                     nursery.start_soon(self._inquire, streams[0].endpoint)
@@ -112,16 +112,16 @@
         finally:
             inquiry.is_asking = False
         if report is not None:
-            self._state.notices.take_report(endpoint, report)
+            self._state.notices.receive_report(endpoint, report)
         now = trio.current_time()
-        is_alive = self._state.paces.last_part_at(endpoint.identity) > asked_at
+        is_alive = self._state.paces.last_chunk_at(endpoint.identity) > asked_at
         if report is not None or is_alive:
             inquiry.unanswered = 0
             inquiry.next_at = now + ASK_AGAIN_SECONDS
         else:
             inquiry.unanswered += 1
             await self._leave_out(endpoint, now)
-        for stream in self._live.at(endpoint.identity):
+        for stream in self._live.running_at(endpoint.identity):
             if self._is_silent(stream, now):
                 await self._judge(stream, report, inquiry.unanswered)
 
@@ -131,8 +131,8 @@
         On a pooled connection, a request would wait until its deadline; opening a new
         one shows first whether the endpoint can be reached.
         """
-        if self._state.health.note_silence(endpoint.identity, now):
-            note_ejection(self._state, endpoint, "silence")
+        if self._state.health.record_silence(endpoint.identity, now):
+            log_ejection(self._state, endpoint, "silence")
         await self._state.pool.drop(endpoint.address)
 
     async def _ask(self, endpoint: Endpoint) -> EndpointReport | None:
@@ -146,7 +146,7 @@
                 async with self._state.pool.borrow(
                     endpoint, IDLE_SECONDS
                 ) as connection:
-                    return await self._reports.ask(connection, endpoint.address)
+                    return await self._reports.probe(connection, endpoint.address)
             except NotConnectedError as error:
                 return None if error.timed_out else NOTHING_TOLD
             except ExchangeBrokenError:
@@ -165,7 +165,7 @@
         now = trio.current_time()
         if not self._is_silent(stream, now):
             return
-        verdict = judge_silence(seen, report, unanswered)
+        verdict = evaluate_silence(seen, report, unanswered)
         ingress_metrics.SILENCES.labels(verdict).inc()
         self._state.log.write(
             StreamSilent(
@@ -177,11 +177,11 @@
                 verdict,
                 seen.last_event,
             ),
-            is_failure=verdict is not SilenceVerdict.WAIT,
+            is_failure=verdict is not SilenceDecision.WAIT,
         )
-        if verdict is SilenceVerdict.MOVE:
+        if verdict is SilenceDecision.MOVE:
             self._moves.evacuate_one(stream, MoveReason.EVENTS_LOST)
-        elif verdict is SilenceVerdict.GIVE_UP:
+        elif verdict is SilenceDecision.GIVE_UP:
             stream.give_up_endpoint()
 
     async def _can_go_on_elsewhere(self, stream: LiveStream) -> bool:
@@ -197,5 +197,5 @@
         return await self._state.pool.can_connect(stream.backup.address)
 
 
-NOTHING_TOLD = EndpointReport(is_leaving=False, made_events={})
+NOTHING_TOLD = EndpointReport(is_leaving=False, generated_events={})
 """Stands for an endpoint that is reachable but reported nothing of its generations."""
--- a/src/piershore/ingress/streams/stream_continuation.py
+++ b/src/piershore/ingress/streams/stream_continuation.py
@@ -6,15 +6,15 @@
 
 from piershore.core.attempts.attempt_outcome import AttemptOutcome
 from piershore.core.fleet.endpoint import Endpoint
-from piershore.ingress.attempts.attempt_log import note_attempt, note_failure
+from piershore.ingress.attempts.attempt_log import log_attempt, record_failed_attempt
 from piershore.ingress.attempts.endpoint_attempt import EndpointAttempt
 from piershore.ingress.exceptions import AttemptFailedError
 from piershore.ingress.gateway_state import GatewayState
 from piershore.ingress.live_stream import backup_handover, Handover, LiveStream
 from piershore.ingress.moves.move_coordinator import MoveCoordinator
 from piershore.ingress.ports import MemoryCopy
-from piershore.ingress.streams.stream_memory import StreamMemory
-from piershore.ingress.streams.stream_opening import IDLE_OF_STREAM_SECONDS
+from piershore.ingress.streams.stream_opening import MAX_IDLE_SECONDS
+from piershore.ingress.streams.stream_placement import StreamPlacement
 from piershore.telemetry.events import StreamContinued
 
 MOST_RUNS_ANEW = 2
@@ -37,7 +37,7 @@
         self,
         state: GatewayState,
         moves: MoveCoordinator,
-        memory: StreamMemory,
+        memory: StreamPlacement,
         stream: LiveStream,
     ) -> None:
         self._state = state
@@ -46,7 +46,7 @@
         self._stream = stream
         self.failure = ""
 
-    async def find(self) -> EndpointAttempt | None:
+    async def resume(self) -> EndpointAttempt | None:
         """Return the attempt that continues the stream.
 
         Return None if there is none, and set `failure`.
@@ -73,10 +73,10 @@
         tried = [self._stream.endpoint.identity]
         while service is not None and len(tried) <= MOST_RUNS_ANEW:
             choice = self._memory.choose(service, tried, trio.current_time())
-            if choice is None or not self._state.may_retry(service):
+            if choice is None or not self._state.spend_retry(service):
                 break
             endpoint = choice.endpoint
-            note_attempt(self._state, exchange, choice, len(tried) + 1)
+            log_attempt(self._state, exchange, choice, len(tried) + 1)
             attempt = await self._resume_at(endpoint, None)
             if attempt is not None:
                 return attempt
@@ -97,7 +97,7 @@
         if handover.copy is None:
             # Without a copy, the endpoint would run the request a second time.
             return None
-        for endpoint in handover.places(trio.current_time()):
+        for endpoint in handover.continuation_endpoints(trio.current_time()):
             attempt = await self._resume_at(endpoint, handover.copy)
             if attempt is not None:
                 return attempt
@@ -113,15 +113,13 @@
         exchange = self._stream.exchange
         last = self._stream.delivered.last_number
         backup = self._memory.choose_backup(endpoint, trio.current_time())
-        order = exchange.order(
+        order = exchange.forwarding_options(
             priority=exchange.priority,
             continue_from=copy,
             back_up_at=backup.address if backup else None,
             last_event_id=None if last is None else str(last),
         )
-        attempt = EndpointAttempt(
-            self._state, exchange, endpoint, IDLE_OF_STREAM_SECONDS
-        )
+        attempt = EndpointAttempt(self._state, exchange, endpoint, MAX_IDLE_SECONDS)
         is_open = False
         try:
             answer = await attempt.start(order)
@@ -131,7 +129,7 @@
                 )
             is_open = True
         except AttemptFailedError as error:
-            note_failure(self._state, exchange, endpoint, error, 0.0)
+            record_failed_attempt(self._state, exchange, endpoint, error, 0.0)
             return None
         finally:
             if not is_open:
@@ -144,7 +142,9 @@
 
         Otherwise return at once: the attempt then fails before the request is sent.
         """
-        left = self._state.placement.seconds_left(endpoint, trio.current_time())
+        left = self._state.placement.seconds_until_available(
+            endpoint, trio.current_time()
+        )
         if left <= LONGEST_WAIT_SECONDS:
             await trio.sleep(left)
 
@@ -152,8 +152,8 @@
         """Record that the stream now runs at another endpoint."""
         stream = self._stream
         self._memory.place(endpoint)
-        self._memory.back_up(backup)
-        stream.settle_at(endpoint, backup)
+        self._memory.place_backup(backup)
+        stream.continue_at(endpoint, backup)
         self._state.log.write(
             StreamContinued(
                 stream.exchange.identity,
--- a/src/piershore/ingress/streams/stream_forwarder.py
+++ b/src/piershore/ingress/streams/stream_forwarder.py
@@ -8,7 +8,7 @@
 
 from piershore.core.attempts.attempt_outcome import AttemptOutcome
 from piershore.core.fleet.generation_work import GenerationSize, GenerationWork
-from piershore.ingress.attempts.attempt_log import judge_failing
+from piershore.ingress.attempts.attempt_log import record_endpoint_failure
 from piershore.ingress.attempts.endpoint_attempt import EndpointAttempt
 from piershore.ingress.callers.exchange import Exchange
 from piershore.ingress.exceptions import AttemptFailedError, RequestRefusedError
@@ -16,8 +16,8 @@
 from piershore.ingress.live_stream import LiveStream, LiveStreams
 from piershore.ingress.moves.move_coordinator import MoveCoordinator
 from piershore.ingress.streams.stream_continuation import StreamContinuation
-from piershore.ingress.streams.stream_memory import StreamMemory
 from piershore.ingress.streams.stream_opening import StreamOpening
+from piershore.ingress.streams.stream_placement import StreamPlacement
 from piershore.ingress.streams.stream_relay import StreamRelay
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import RequestAnswered, StreamBrokenOff
@@ -40,7 +40,7 @@
         """Answer one request, or raise `RequestRefusedError` before the first byte."""
         size = exchange.request.size or UNKNOWN_SIZE
         work = self._expected_work(exchange, size)
-        memory = StreamMemory(self._state, exchange, work)
+        memory = StreamPlacement(self._state, exchange, work)
         opening = StreamOpening(self._state, exchange, memory)
         try:
             with trio.move_on_at(exchange.deadline):
@@ -61,7 +61,7 @@
         return GenerationWork(size, estimate, self._state.expectation)
 
     async def _serve(
-        self, exchange: Exchange, memory: StreamMemory, opening: StreamOpening
+        self, exchange: Exchange, memory: StreamPlacement, opening: StreamOpening
     ) -> None:
         attempt = await opening.open()
         if not attempt.answer.is_success:
@@ -90,14 +90,14 @@
             ) from error
         finally:
             await attempt.close()
-        judge_failing(self._state, attempt.endpoint)
+        record_endpoint_failure(self._state, attempt.endpoint)
         if attempt.answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
             attempt.record_served()
-        headers = self._state.dialect.answer_headers(attempt.head)
+        headers = self._state.dialect.forwarded_answer_headers(attempt.head)
         await exchange.connection.respond(attempt.answer.status, headers, body)
 
     async def _relay_all(
-        self, stream: LiveStream, memory: StreamMemory, attempt: EndpointAttempt
+        self, stream: LiveStream, memory: StreamPlacement, attempt: EndpointAttempt
     ) -> None:
         """Relay events from one endpoint after the other until the stream is complete.
 
@@ -106,7 +106,7 @@
         relay = StreamRelay(self._state, stream)
         while (reason := await relay.run(attempt)) is not None:
             way = StreamContinuation(self._state, self._moves, memory, stream)
-            attempt = await way.find()
+            attempt = await way.resume()
             if attempt is None:
                 outcome = AttemptOutcome.BROKEN_OFF
                 raise AttemptFailedError(outcome, f"{reason}{way.failure}")
@@ -117,7 +117,7 @@
 
     def _note_answered(self, stream: LiveStream, attempts: int) -> None:
         exchange = stream.exchange
-        self._state.note_success(stream.endpoint.identity)
+        self._state.record_success(stream.endpoint.identity)
         work, route = stream.work, exchange.route.name
         expected = work.expectation.remaining(work.estimate, 0)
         ingress_metrics.EXPECTED_TOKENS.labels(route).inc(expected)
@@ -147,7 +147,7 @@
         """End the stream in a way that shows its caller that it is incomplete."""
         exchange = stream.exchange
         ingress_metrics.BROKEN_STREAMS.labels("endpoint_failed").inc()
-        judge_failing(self._state, stream.endpoint)
+        record_endpoint_failure(self._state, stream.endpoint)
         self._state.log.write(
             StreamBrokenOff(
                 exchange.identity,
--- a/src/piershore/ingress/streams/stream_opening.py
+++ b/src/piershore/ingress/streams/stream_opening.py
@@ -8,28 +8,28 @@
 
 from piershore.core.attempts.attempt_outcome import (
     AttemptOutcome,
-    may_try_again,
-    MOST_PROVEN_UNRUN,
+    MAX_UNRUN_REFUSALS,
+    may_retry,
     NOT_RUN_STATUSES,
 )
-from piershore.core.fleet.generation_admission import come_back_seconds
-from piershore.core.fleet.placement import Choice
-from piershore.core.fleet.room_wait import RoomWait, waiting_seconds
+from piershore.core.fleet.generation_admission import retry_after_seconds
+from piershore.core.fleet.memory_wait import max_memory_wait_seconds, MemoryWait
+from piershore.core.fleet.placement import PlacementDecision
 from piershore.core.mechanism import Mechanism
 from piershore.ingress.attempts.attempt_log import (
-    judge_refusing,
-    note_attempt,
-    note_failure,
+    log_attempt,
+    record_failed_attempt,
+    record_refusal,
 )
 from piershore.ingress.attempts.endpoint_attempt import EndpointAttempt
 from piershore.ingress.callers.exchange import Exchange
 from piershore.ingress.callers.final_refusal import final_refusal
 from piershore.ingress.exceptions import AttemptFailedError, RequestRefusedError
 from piershore.ingress.gateway_state import GatewayState
-from piershore.ingress.streams.stream_memory import StreamMemory
+from piershore.ingress.streams.stream_placement import StreamPlacement
 from piershore.telemetry import ingress_metrics
 
-IDLE_OF_STREAM_SECONDS = 1.0
+MAX_IDLE_SECONDS = 1.0
 """Maximum idle time of a pooled connection that a stream reuses; the same as for calls
 that must run at most once."""
 COME_BACK_SPREAD = (0.75, 1.25)
@@ -43,7 +43,7 @@
     """Sends a stream's request until one endpoint answers."""
 
     def __init__(
-        self, state: GatewayState, exchange: Exchange, memory: StreamMemory
+        self, state: GatewayState, exchange: Exchange, memory: StreamPlacement
     ) -> None:
         self._state = state
         self._exchange = exchange
@@ -62,7 +62,7 @@
         service = exchange.route.service_for(exchange.identity)
         if service is None:
             raise self.refusal()
-        self._state.allowance(service).note_request(trio.current_time())
+        self._state.retry_budget(service).record_request(trio.current_time())
         tried: list[str] = []
         while True:
             choice = await self._choose_with_room(service, tried)
@@ -76,28 +76,30 @@
                 return attempt
             self._check_may_go_on(service)
 
-    async def _choose_with_room(self, service: str, tried: list[str]) -> Choice | None:
+    async def _choose_with_room(
+        self, service: str, tried: list[str]
+    ) -> PlacementDecision | None:
         """Return a choice that has memory; without one in time, the last choice.
 
         None means that there is no endpoint, or that none accepts work in time.
         """
-        wait = RoomWait(self._state.random)
+        wait = MemoryWait(self._state.random)
         until = self._exchange.arrived
-        if self._state.uses(Mechanism.WAITING):
-            until += waiting_seconds(self._exchange.route.target_latency)
+        if self._state.is_enabled(Mechanism.WAITING):
+            until += max_memory_wait_seconds(self._exchange.route.target_latency)
         while True:
             choice = self._memory.choose(service, tried, trio.current_time())
             if choice is None:
                 pause = self._seconds_left(service)
             else:
-                pause = wait.next_pause(has_room=self._memory.fits(choice))
+                pause = wait.next_pause(has_memory=self._memory.fits(choice))
             if pause is None or trio.current_time() + pause > until:
                 return choice
             await trio.sleep(pause)
 
     def _seconds_left(self, service: str) -> float | None:
         now = trio.current_time()
-        return self._state.placement.service_seconds_left(service, now)
+        return self._state.placement.seconds_until_any_available(service, now)
 
     def refusal(self, *, timed_out: bool = False) -> RequestRefusedError:
         """Return the refusal to answer with when no endpoint answered."""
@@ -113,7 +115,7 @@
             timed_out=timed_out,
         )
 
-    def _crowded(self, choice: Choice) -> RequestRefusedError:
+    def _crowded(self, choice: PlacementDecision) -> RequestRefusedError:
         """Return the refusal when not even the best engine has enough memory.
 
         Jitter spreads the retries of callers that are refused together.
@@ -125,32 +127,34 @@
             HTTPStatus.SERVICE_UNAVAILABLE,
             "engines_crowded",
             "no engine has memory for the request now",
-            spread * come_back_seconds(choice.load),
+            spread * retry_after_seconds(choice.load),
         )
 
     def _check_may_go_on(self, service: str) -> None:
         outcome = self._outcomes[-1]
-        is_last = len(self._outcomes) >= MOST_PROVEN_UNRUN
-        may_go_on = may_try_again(self._exchange.route.kind, outcome) and not is_last
-        if not may_go_on or not self._state.may_retry(service):
+        is_last = len(self._outcomes) >= MAX_UNRUN_REFUSALS
+        may_go_on = may_retry(self._exchange.route.kind, outcome) and not is_last
+        if not may_go_on or not self._state.spend_retry(service):
             raise self.refusal()
         ingress_metrics.RETRIES.labels(outcome).inc()
 
-    async def _attempt(self, choice: Choice, number: int) -> EndpointAttempt | None:
+    async def _attempt(
+        self, choice: PlacementDecision, number: int
+    ) -> EndpointAttempt | None:
         endpoint = choice.endpoint
-        note_attempt(self._state, self._exchange, choice, number, self._memory.work)
+        log_attempt(self._state, self._exchange, choice, number, self._memory.work)
         started = trio.current_time()
         backup = self._memory.choose_backup(endpoint, started)
         attempt = EndpointAttempt(
-            self._state, self._exchange, endpoint, IDLE_OF_STREAM_SECONDS
+            self._state, self._exchange, endpoint, MAX_IDLE_SECONDS
         )
         self._memory.place(endpoint)
-        self._memory.back_up(backup)
+        self._memory.place_backup(backup)
         self._last_attempt = attempt
         is_open = False
         try:
             await self._start(attempt)
-            self._state.failures.note(
+            self._state.failures.record(
                 endpoint.identity, trio.current_time(), failed=False
             )
             is_open = True
@@ -158,8 +162,8 @@
         except AttemptFailedError as error:
             self._outcomes.append(error.outcome)
             seconds = trio.current_time() - started
-            note_failure(self._state, self._exchange, endpoint, error, seconds)
-            judge_refusing(self._state, endpoint, error)
+            record_failed_attempt(self._state, self._exchange, endpoint, error, seconds)
+            record_refusal(self._state, endpoint, error)
             return None
         finally:
             if not is_open:
@@ -169,12 +173,12 @@
     async def _start(self, attempt: EndpointAttempt) -> None:
         backup = self._memory.backup
         answer = await attempt.start(
-            self._exchange.order(
+            self._exchange.forwarding_options(
                 priority=self._exchange.priority,
                 back_up_at=backup.address if backup else None,
             )
         )
-        if not answer.is_sound or answer.status in NOT_RUN_STATUSES:
+        if not answer.is_valid or answer.status in NOT_RUN_STATUSES:
             raise AttemptFailedError(
                 AttemptOutcome.MAYBE_RUN, f"unusable answer, status {answer.status}"
             )
--- a/src/piershore/ingress/streams/stream_memory.py
+++ b/src/piershore/ingress/streams/stream_placement.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from piershore.core.fleet.backup_choice import backup_room, has_room
+from piershore.core.fleet.backup_policy import backup_memory_limit, fits_backup
 from piershore.core.fleet.endpoint import Endpoint
 from piershore.core.fleet.fleet_load import BackupWork
 from piershore.core.fleet.generation_admission import has_memory
 from piershore.core.fleet.generation_work import GenerationWork
-from piershore.core.fleet.placement import Choice
+from piershore.core.fleet.placement import PlacementDecision
 from piershore.core.mechanism import Mechanism
 from piershore.ingress.callers.exchange import Exchange
 from piershore.ingress.gateway_state import GatewayState
 
 
-class StreamMemory:
+class StreamPlacement:
     """Counts a generation at its endpoint and its backup in the fleet's load.
 
     Also chooses both endpoints, by the memory that the generation needs.
@@ -41,10 +41,10 @@
             load.remove(self._endpoint.identity, self.work)
         if endpoint is not None:
             load.add(endpoint.identity, self.work)
-            self._state.tell_load(endpoint)
+            self._state.announce_load(endpoint)
         self._endpoint = endpoint
 
-    def back_up(self, backup: Endpoint | None) -> None:
+    def place_backup(self, backup: Endpoint | None) -> None:
         """Count the backup at this endpoint only; at none if it is None."""
         load = self._state.fleet_load
         if self._backup is not None:
@@ -56,9 +56,11 @@
     def release(self) -> None:
         """Remove the work and its backup from the fleet's load."""
         self.place(None)
-        self.back_up(None)
+        self.place_backup(None)
 
-    def choose(self, service: str, excluded: list[str], now: float) -> Choice | None:
+    def choose(
+        self, service: str, excluded: list[str], now: float
+    ) -> PlacementDecision | None:
         """Return the best endpoint for the generation, or None if there is none."""
         spec = self._exchange.configuration.services.get(service)
         placement = self._state.placement
@@ -74,9 +76,9 @@
             service, self.work, spec.engine, now, excluded, anywhere=True
         )
 
-    def fits(self, choice: Choice) -> bool:
+    def fits(self, choice: PlacementDecision) -> bool:
         """Return whether the chosen endpoint has memory for the generation."""
-        if not self._state.uses(Mechanism.ADMISSION):
+        if not self._state.is_enabled(Mechanism.ADMISSION):
             return True
         spec = self._exchange.configuration.services.get(choice.endpoint.service)
         if spec is None or spec.engine is None:
@@ -88,17 +90,17 @@
 
         The generation's memory is copied to its backup as it grows.
         """
-        if not self._state.uses(Mechanism.BACKUPS):
+        if not self._state.is_enabled(Mechanism.BACKUPS):
             return None
         spec = self._exchange.configuration.services.get(endpoint.service)
         engine = spec.engine if spec else None
         load = self._state.fleet_load.at(endpoint.identity)
-        room = backup_room(load, self.work, engine) if engine else None
+        room = backup_memory_limit(load, self.work, engine) if engine else None
         if room is None:
             return None
         # A rate-limited endpoint might reject the stream when it must continue there.
         excluded = [endpoint.identity, *self._state.limits.limited()]
         choice = self.choose(endpoint.service, excluded, now)
-        if choice is None or not has_room(choice.load, self.work, engine, room):
+        if choice is None or not fits_backup(choice.load, self.work, engine, room):
             return None
         return choice.endpoint
--- a/src/piershore/ingress/streams/stream_relay.py
+++ b/src/piershore/ingress/streams/stream_relay.py
@@ -27,7 +27,7 @@
     async def run(self, attempt: EndpointAttempt) -> str | None:
         """Relay all events; return None when complete, or why the stream broke."""
         splitter = EventSplitter()
-        parts = attempt.read_parts()
+        parts = attempt.read_chunks()
         stream = self._stream
         try:
             while (part := await self._next_part(parts)) is not None:
@@ -42,7 +42,7 @@
             return "the endpoint was given up"
         if stream.handover is not None and stream.handover.run_stopped:
             return "the run was stopped for a move"
-        if splitter.rest:
+        if splitter.remainder:
             return "the last event was truncated"
         return None
 
@@ -69,7 +69,7 @@
         """Send new events; then raise `MissingEventError` if one is missing."""
         taken: list[bytes] = []
         try:
-            for event in self._stream.delivered.take(events):
+            for event in self._stream.delivered.filter_new(events):
                 taken.append(event.data)
         finally:
             if taken:
@@ -78,17 +78,17 @@
 
     def _note_events(self, attempt: EndpointAttempt, count: int) -> None:
         stream, now = self._stream, trio.current_time()
-        is_first = stream.leg_began_at == float("inf")
+        is_first = stream.endpoint_first_event_at == float("inf")
         gap = None if is_first else now - stream.last_event_at
-        self._state.paces.note_part(attempt.endpoint.identity, gap, now)
+        self._state.paces.record_chunk(attempt.endpoint.identity, gap, now)
         if gap is not None:
-            self._state.stalls.note_part(attempt.endpoint.data_hall, gap)
-        stream.note_events(count, now, TOKENS_AN_EVENT)
+            self._state.stalls.record_chunk(attempt.endpoint.data_hall, gap)
+        stream.record_events(count, now, TOKENS_AN_EVENT)
 
     async def _send(self, attempt: EndpointAttempt, data: bytes) -> None:
         connection = self._stream.exchange.connection
         if connection.response_started:
             await connection.send_part(data)
             return
-        headers = self._state.dialect.answer_headers(attempt.head)
+        headers = self._state.dialect.forwarded_answer_headers(attempt.head)
         await connection.start_stream(attempt.answer.status, headers, data)
--- a/src/piershore/platform/box_settings_file.py
+++ b/src/piershore/platform/box_settings_file.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from piershore.core.attempts.retry_allowance import RetryLimits
+from piershore.core.attempts.retry_budget import RetryLimits
 from piershore.core.fleet.endpoint import Address
 from piershore.platform.settings_lines import (
     CALLERS_ADDRESS,
--- a/src/piershore/platform/callers_port.py
+++ b/src/piershore/platform/callers_port.py
@@ -4,7 +4,7 @@
 
 import os
 
-from piershore.early_port import open_early
+from piershore.early_listener import open_early_listener
 from piershore.platform.settings_lines import (
     CALLERS_ADDRESS,
     PATH_VARIABLE,
@@ -21,6 +21,6 @@
         with open(os.environ.get(PATH_VARIABLE, ""), encoding="utf-8") as file:
             fields = dict(read_fields(file.read()))
         host, _, port = fields.get(CALLERS_ADDRESS, "").rpartition(":")
-        open_early(host, int(port))
+        open_early_listener(host, int(port))
     except (OSError, ValueError):
         return
--- a/src/piershore/platform/engine_reports.py
+++ b/src/piershore/platform/engine_reports.py
@@ -11,16 +11,16 @@
 from piershore.http1.client_connection import ClientConnection
 from piershore.http1.exceptions import ExchangeBrokenError
 from piershore.http1.message import RequestHead
-from piershore.ingress.ports import EndpointReports
+from piershore.ingress.ports import EndpointProber
 
 STATUS_OK = 200
 LEAVING_STATE = "draining"
 
 
-class EngineReports(EndpointReports):
+class EngineReports(EndpointProber):
     """Asks for an engine's report, which takes no place in its batch."""
 
-    async def ask(
+    async def probe(
         self, connection: ClientConnection, address: Address
     ) -> EndpointReport:
         """Ask an engine; raise `ExchangeBrokenError` if it tells nothing proper."""
@@ -50,6 +50,6 @@
     born = report.get("born")
     return EndpointReport(
         is_leaving=report.get("state") == LEAVING_STATE or bool(leaves_in),
-        made_events={str(run[0]): int(run[2]) for run in runs},
+        generated_events={str(run[0]): int(run[2]) for run in runs},
         born=born if type(born) is int else 0,
     )
--- a/src/piershore/platform/feeds.py
+++ b/src/piershore/platform/feeds.py
@@ -6,12 +6,13 @@
 
 import orjson
 
-from piershore.core.documents.document import Document, DocumentPart
+from piershore.checkpoints import with_checkpoints
+from piershore.core.documents.document import Document, DocumentChunk
 from piershore.core.documents.splitting import split
 from piershore.core.fleet.drained_halls import DrainedHalls
 from piershore.core.fleet.endpoint import Address, Endpoint
 from piershore.core.fleet.store_revision import StoreRevision
-from piershore.core.routes.configuration_piece import ConfigurationPiece
+from piershore.core.routes.partial_configuration import PartialConfiguration
 from piershore.core.routes.serving_configuration import ServingConfiguration
 from piershore.ingress.ports import (
     ConfigurationFeed,
@@ -29,7 +30,6 @@
     PlatformObject,
 )
 from piershore.platform.routing_codec import decode_piece, join_decoded
-from piershore.turns import in_turns
 
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
@@ -45,11 +45,11 @@
         self._client = ObjectClient(store)
 
     @property
-    def heard_at(self) -> float:
+    def last_received_at(self) -> float:
         """When something of an answer came last, by trio's clock."""
         return self._client.heard_at
 
-    def take_era_finding(self) -> str:
+    def pop_era_finding(self) -> str:
         """Return what was wrong with the era of answers, each fault once."""
         return self._client.era.take_finding()
 
@@ -81,7 +81,7 @@
                 newest = change.object.spec
         return None if newest is None else await document_of(newest, reached), reached
 
-    def decode_part(self, part: DocumentPart) -> ConfigurationPiece:
+    def decode_chunk(self, part: DocumentChunk) -> PartialConfiguration:
         """Decode one part of a document."""
         try:
             fields = orjson.loads(part.data)
@@ -89,7 +89,7 @@
             raise InvalidObjectError(f"a part is no JSON: {error}") from error
         return decode_piece(fields)
 
-    def join(self, pieces: Iterable[ConfigurationPiece]) -> ServingConfiguration:
+    def join(self, pieces: Iterable[PartialConfiguration]) -> ServingConfiguration:
         """Join the decoded parts of a whole document."""
         return join_decoded(pieces)
 
@@ -98,7 +98,9 @@
     """Return the document of an object's fields, split in turns with other work."""
     if not isinstance(spec, Mapping):
         raise InvalidObjectError("the configuration is no object")
-    return Document(revision, tuple([part async for part in in_turns(split(spec))]))
+    return Document(
+        revision, tuple([part async for part in with_checkpoints(split(spec))])
+    )
 
 
 class StoredDrainFeed(_StoredFeed, DrainFeed):
@@ -124,7 +126,7 @@
                 self._data_halls.add(change.object.name)
         return self._view(_reached(batch, revision))
 
-    def go_on_from(self, drained: DrainedHalls) -> None:
+    def resume_from(self, drained: DrainedHalls) -> None:
         """Take what peers know, to watch for changes after it."""
         self._data_halls = set(drained.data_halls)
 
@@ -156,7 +158,7 @@
         batch = await self._client.watch(ENDPOINT_KIND, revision, wait)
         return tuple(map(self._change, batch.changes)), _reached(batch, revision)
 
-    def take_findings(self) -> list[str]:
+    def pop_findings(self) -> list[str]:
         """Return what was wrong with entries since the last call."""
         findings, self._findings = self._findings, []
         return findings
--- a/src/piershore/platform/headers.py
+++ b/src/piershore/platform/headers.py
@@ -15,7 +15,7 @@
 from piershore.ingress.ports import (
     CallerRequest,
     EndpointAnswer,
-    ForwardOrder,
+    ForwardingOptions,
     RequestDialect,
 )
 
@@ -84,12 +84,12 @@
             size=_size(head),
         )
 
-    def for_endpoint(
+    def build_forwarded_head(
         self,
         request: CallerRequest,
         body_length: int,
         endpoint: Endpoint,
-        order: ForwardOrder,
+        order: ForwardingOptions,
     ) -> RequestHead:
         """Return the head that the endpoint gets."""
         headers = [
@@ -116,7 +116,7 @@
             headers.append((BACK_UP_AT, _encode(order.back_up_at)))
         return RequestHead(request.head.method, request.head.target, tuple(headers))
 
-    def is_own_answer(self, request: CallerRequest, head: ResponseHead) -> bool:
+    def is_answer_to(self, request: CallerRequest, head: ResponseHead) -> bool:
         """Tell whether the answer names this request."""
         value = head.header(REQUEST_ID)
         return value is not None and value.decode("latin-1") == request.identity
@@ -130,7 +130,7 @@
             status=head.status,
             was_not_run=head.header(NOT_RUN) is not None or head.status == MISDIRECTED,
             is_wrong_instance=head.status == MISDIRECTED,
-            is_sound=is_plain and (is_sealed or not is_success),
+            is_valid=is_plain and (is_sealed or not is_success),
         )
 
     def read_notice(self, head: ResponseHead) -> EndpointNotice:
@@ -150,12 +150,12 @@
             rate = UNLIMITED
         return EndpointNotice(is_leaving, rest, rate, unreadable)
 
-    def answer_headers(self, head: ResponseHead) -> Headers:
+    def forwarded_answer_headers(self, head: ResponseHead) -> Headers:
         """Return the endpoint's headers that the caller gets."""
         kept = end_to_end(head.headers, frozenset())
         return tuple(item for item in kept if item[0] != b"content-length")
 
-    def own_headers(
+    def gateway_answer_headers(
         self, request: CallerRequest | None, retry_after: float | None
     ) -> Headers:
         """Return the headers of an answer that the gateway gives itself."""
--- a/src/piershore/platform/http_platform_store.py
+++ b/src/piershore/platform/http_platform_store.py
@@ -18,7 +18,7 @@
 )
 from piershore.core.fleet.endpoint import Address
 from piershore.core.fleet.store_era import StoreEra
-from piershore.core.fleet.store_revision import LARGEST_ERA, StoreRevision
+from piershore.core.fleet.store_revision import MAX_ERA, StoreRevision
 from piershore.core.ports import Box, BoxList, BoxRole, BoxState, PlatformStore
 from piershore.platform.exceptions import ObjectConflictError, StaleVersionError
 from piershore.platform.object_client import (
@@ -228,7 +228,7 @@
     if type(told) is int and told > 0:
         return StoreRevision(told)
     era = item.spec.get("era", 0)
-    is_era = type(era) is int and 0 <= era <= LARGEST_ERA
+    is_era = type(era) is int and 0 <= era <= MAX_ERA
     return StoreRevision.of(era if is_era else 0, item.revision)
 
 
--- a/src/piershore/platform/object_client.py
+++ b/src/piershore/platform/object_client.py
@@ -248,7 +248,7 @@
         await connection.send(head, body)
         answer = await connection.read_head()
         self._heard_at = trio.current_time()
-        if not self._era.take(_text(answer.header(ERA)), self._heard_at):
+        if not self._era.observe(_text(answer.header(ERA)), self._heard_at):
             reason = "the store answers from before its return"
             if call.method == b"GET":
                 raise PlatformUnavailableError(reason)
@@ -256,7 +256,7 @@
         return answer
 
     async def _parts(self, connection: ClientConnection) -> AsyncIterator[bytes]:
-        async for part in connection.read_parts(STALLED_SECONDS):
+        async for part in connection.read_chunks(STALLED_SECONDS):
             self._heard_at = trio.current_time()
             yield part
 
--- a/src/piershore/platform/routing_codec.py
+++ b/src/piershore/platform/routing_codec.py
@@ -6,7 +6,10 @@
 from typing import TypeVar
 
 from piershore.core.routes.client_limits import ClientLimits
-from piershore.core.routes.configuration_piece import ConfigurationPiece, join_pieces
+from piershore.core.routes.partial_configuration import (
+    merge_partial_configurations,
+    PartialConfiguration,
+)
 from piershore.core.routes.route import RequestKind, Route, ServiceShare
 from piershore.core.routes.service_spec import EngineSpec, ServiceSpec
 from piershore.core.routes.serving_configuration import (
@@ -27,12 +30,12 @@
 DEFAULT_PRIORITY = 5
 
 
-def decode_piece(fields: Mapping) -> ConfigurationPiece:
+def decode_piece(fields: Mapping) -> PartialConfiguration:
     """Decode some fields; raise `InvalidObjectError` if one can't be read."""
     try:
         version = fields.get("version")
         limits = fields.get("limits")
-        return ConfigurationPiece(
+        return PartialConfiguration(
             version=None if version is None else int(version),
             routes=_all(fields, "routes", _route),
             services=_all(fields, "services", _service),
@@ -44,10 +47,10 @@
         raise _unreadable(error) from error
 
 
-def join_decoded(pieces: Iterable[ConfigurationPiece]) -> ServingConfiguration:
+def join_decoded(pieces: Iterable[PartialConfiguration]) -> ServingConfiguration:
     """Join pieces; raise `InvalidObjectError` if they are no whole configuration."""
     try:
-        return join_pieces(pieces)
+        return merge_partial_configurations(pieces)
     except ValueError as error:
         raise _unreadable(error) from error
 
--- a/src/piershore/settings/box_settings.py
+++ b/src/piershore/settings/box_settings.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from piershore.core.attempts.retry_allowance import RetryLimits
+from piershore.core.attempts.retry_budget import RetryLimits
 from piershore.core.fleet.endpoint import Address
 
 
