--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -287,7 +287,8 @@
         "ingress_store",
         (
             "ingress/followers/store_follower.py",
-            "missed changes: read the whole state.\n                self._revision = None\n",
+            "missed changes: read the whole state.\n"
+            "                self._revision = None\n",
             "missed changes.\n",
         ),
     ),
