--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -273,7 +273,7 @@
         "ingress_streams",
     ),
     Mutant(
-        "an endpoint that leaves gets work",
+        "a leaving endpoint gets new work",
         "core/fleet/endpoint_directory.py",
         " and endpoint.stage is EndpointStage.READY",
         "",
@@ -333,9 +333,9 @@
         "ingress_documents",
     ),
     Mutant(
-        "gateways watch whatever their links",
+        "gateways watch whatever the speed of their links",
         "core/fleet/watchers.py",
-        "preferred=wide",
+        "preferred=preferred",
         "preferred=()",
         "ingress_core",
     ),
@@ -347,7 +347,7 @@
         "accepted_config",
     ),
     Mutant(
-        "lapsed entries are dropped at once",
+        "possibly expired entries are dropped immediately",
         "core/fleet/endpoint_directory.py",
         "        if after_outage and endpoint.stage is EndpointStage.READY:\n",
         "        if False:\n",
@@ -389,9 +389,9 @@
         "ingress_store",
     ),
     Mutant(
-        "requests that crash endpoints are sent on",
+        "requests that crash endpoints aren't quarantined",
         QUARANTINE,
-        "return self.crashes >= self.most_crashes",
+        "return self.crashes >= self.crash_threshold",
         "return False",
         "crashing_requests",
     ),
@@ -403,7 +403,7 @@
         "crashing_requests",
     ),
     Mutant(
-        "whatever runs at a crash is suspected",
+        "all requests that run at a crash are suspected",
         "core/quarantine/endpoint_runs.py",
         "return min(now, self.ended_at) - self.first_chunk_at"
         " <= SUSPECT_WINDOW_SECONDS",
@@ -411,9 +411,9 @@
         "crashing_requests",
     ),
     Mutant(
-        "an answer excuses nothing",
+        "an answer doesn't clear a request of crashes",
         QUARANTINE,
-        "        self.excused |= self.crashed\n",
+        "        self.cleared |= self.crashed\n",
         "",
         "crashing_requests",
     ),
@@ -439,16 +439,16 @@
         "own_store_returns",
     ),
     Mutant(
-        "a named rate isn't shared",
+        "a rate limit isn't divided among gateways",
         LIMITS,
         "return RateQuota(share.quota(quota.requests), quota.window)",
         "return quota",
         "endpoint_rate_limits",
     ),
     Mutant(
-        "peers aren't told of a named rate",
+        "rate limits that peers report aren't applied",
         LIMITS,
-        "            self._latest[identity] = named\n            if",
+        "            self._latest[identity] = advertised\n            if",
         "            if",
         "endpoint_rate_limits",
     ),
@@ -460,10 +460,10 @@
         "endpoint_rate_limits",
     ),
     Mutant(
-        "nobody asks whether a limit holds",
+        "no gateway probes whether a limit still applies",
         LIMITS,
-        "if self._may_ask(",
-        "if False and self._may_ask(",
+        "if self._should_probe(",
+        "if False and self._should_probe(",
         "endpoint_rate_limits",
     ),
     Mutant(
--- a/src/piershore/core/attempts/leaving.py
+++ b/src/piershore/core/attempts/leaving.py
@@ -39,8 +39,8 @@
         return True
     if size is None:
         return timeout <= seconds_left
-    most = FIRST_EVENT_SECONDS + size.max_output_tokens * TOKEN_SECONDS
-    return min(most, timeout) <= seconds_left
+    max_seconds = FIRST_EVENT_SECONDS + size.max_output_tokens * TOKEN_SECONDS
+    return min(max_seconds, timeout) <= seconds_left
 
 
 def retry_after_seconds(
@@ -54,5 +54,5 @@
     """
     if others_stay:
         return IMMEDIATE_RETRY_SECONDS
-    first_back = min(leaving_since, default=now) + grace + RESTART_SECONDS
-    return max(IMMEDIATE_RETRY_SECONDS, first_back - now)
+    first_restarted_at = min(leaving_since, default=now) + grace + RESTART_SECONDS
+    return max(IMMEDIATE_RETRY_SECONDS, first_restarted_at - now)
--- a/src/piershore/core/attempts/retry_budget.py
+++ b/src/piershore/core/attempts/retry_budget.py
@@ -31,7 +31,7 @@
     def record_request(self, now: float) -> None:
         """Count the first attempt of a request."""
         self._requests.append(now)
-        self._forget(now)
+        self._drop_expired(now)
 
     def spend(self, now: float, gateways: int) -> bool:
         """Use one retry if one remains; `gateways` share the slack."""
@@ -42,7 +42,7 @@
 
     def remaining(self, now: float, gateways: int) -> float:
         """Return how many retries remain in the current window."""
-        self._forget(now)
+        self._drop_expired(now)
         return max(0.0, self.allowed(gateways) - len(self._retries))
 
     def allowed(self, gateways: int) -> float:
@@ -51,7 +51,7 @@
         total = self._limits.ratio * len(self._requests) + share
         return max(1.0, self._limits.safety * total)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         start = now - self._limits.window
         for times in (self._requests, self._retries):
             while times and times[0] < start:
--- a/src/piershore/core/fleet/cold_starts.py
+++ b/src/piershore/core/fleet/cold_starts.py
@@ -36,14 +36,14 @@
         self._shares = shares
         self._configuration = configuration
         self._until: dict[str, float] = {}
-        self._seen: dict[str, float] = {}
+        self._own_until: dict[str, float] = {}
         self._sent = SentRequests()
 
     def record_entry(self, endpoint: Endpoint, now: float) -> None:
         """Record whether an endpoint is cold, as its own entry says."""
         if endpoint.cold_seconds > 0:
-            self._seen[endpoint.identity] = now + endpoint.cold_seconds
-            self._note(endpoint.identity, endpoint.cold_seconds, now)
+            self._own_until[endpoint.identity] = now + endpoint.cold_seconds
+            self._mark_cold(endpoint.identity, endpoint.cold_seconds, now)
 
     def record_start(self, endpoint: Endpoint, now: float) -> None:
         """Record a new endpoint as cold, since a peer's list doesn't say whether it is.
@@ -52,23 +52,23 @@
         """
         spec = self._spec(endpoint)
         if spec is not None and spec.cold_start_seconds > 0:
-            self._note(endpoint.identity, spec.cold_start_seconds, now)
+            self._mark_cold(endpoint.identity, spec.cold_start_seconds, now)
 
-    def apply_report(self, told: Mapping[str, float], now: float) -> None:
+    def apply_report(self, reported: Mapping[str, float], now: float) -> None:
         """Record a peer's cold endpoints, with the seconds until they are warm."""
-        for identity, seconds in told.items():
-            self._note(identity, seconds, now)
+        for identity, seconds in reported.items():
+            self._mark_cold(identity, seconds, now)
 
     def report(self, now: float) -> dict[str, float]:
         """Return the seconds until endpoints are warm whose entries this gateway read.
 
         Reports of peers aren't passed on: the time would grow a little with each hop.
         """
-        self._forget(now)
-        newest = sorted(self._seen, key=self._seen.get, reverse=True)[
+        self._drop_expired(now)
+        newest = sorted(self._own_until, key=self._own_until.get, reverse=True)[
             :MAX_REPORTED_ENDPOINTS
         ]
-        return {identity: self._seen[identity] - now for identity in newest}
+        return {identity: self._own_until[identity] - now for identity in newest}
 
     def is_cold(self, identity: str, now: float) -> bool:
         """Return whether an endpoint has not warmed up yet."""
@@ -81,28 +81,28 @@
         spec = self._spec(endpoint)
         if spec is None or spec.cold_rate is None:
             return True
-        lately = self._sent.count(endpoint.identity, now - COUNTED_SECONDS)
-        return lately < self._part(endpoint, spec)
+        recent = self._sent.count(endpoint.identity, now - COUNTED_SECONDS)
+        return recent < self._quota(endpoint, spec)
 
     def record_sent(self, endpoint: Endpoint, now: float) -> None:
         """Count a request to an endpoint if that is cold."""
         if self.is_cold(endpoint.identity, now):
             self._sent.record(endpoint.identity, now, COUNTED_SECONDS)
 
-    def _part(self, endpoint: Endpoint, spec: ServiceSpec) -> int:
+    def _quota(self, endpoint: Endpoint, spec: ServiceSpec) -> int:
         share = self._shares.of(endpoint)
         return share.quota(max(1, int(spec.cold_rate))) if share else 0
 
     def _spec(self, endpoint: Endpoint) -> ServiceSpec | None:
         return self._configuration.service(endpoint.service)
 
-    def _note(self, identity: str, seconds: float, now: float) -> None:
-        self._forget(now)
+    def _mark_cold(self, identity: str, seconds: float, now: float) -> None:
+        self._drop_expired(now)
         until = now + seconds
         self._until[identity] = max(until, self._until.get(identity, until))
 
-    def _forget(self, now: float) -> None:
-        for known in (self._until, self._seen):
+    def _drop_expired(self, now: float) -> None:
+        for known in (self._until, self._own_until):
             for identity in [i for i, until in known.items() if until <= now]:
                 del known[identity]
         for identity in self._sent.identities() - self._until.keys():
--- a/src/piershore/core/fleet/endpoint_directory.py
+++ b/src/piershore/core/fleet/endpoint_directory.py
@@ -63,11 +63,11 @@
         self._endpoints: dict[str, Endpoint] = {}
         self._leaving: dict[str, None] = {}
         self._identities: dict[str, str] = {}
-        self._newest_born: dict[str, int] = {}
+        self._newest_start_times: dict[str, int] = {}
         self._drained: frozenset[str] = frozenset()
-        self._doubtful: dict[str, float] = {}
-        self._gone: dict[str, None] = {}
-        self._held_back: dict[str, float] = {}
+        self._possibly_expired: dict[str, float] = {}
+        self._removed: dict[str, None] = {}
+        self._deferred: dict[str, float] = {}
         self._revision = StoreRevision()
         self._fingerprint: int | None = None
         self._placeable: dict[str, tuple[Endpoint, ...]] = {}
@@ -123,7 +123,7 @@
     def _takes_work(self, endpoint: Endpoint, service: str) -> bool:
         if endpoint.service != service or self.is_drained(endpoint):
             return False
-        if endpoint.identity in self._held_back:
+        if endpoint.identity in self._deferred:
             return False
         return endpoint.stage is EndpointStage.READY
 
@@ -154,14 +154,14 @@
         by_name = {endpoint.name: endpoint for endpoint in listed}
         if StoreRevision(revision).era > self._revision.era:
             after_outage = True
-            self._hold_back(by_name.values(), now)
+            self._defer_removed(by_name.values(), now)
         departures = []
         for endpoint in list(self):
             if endpoint.name not in by_name:
                 identity = endpoint.identity
                 departures.extend(self.remove(identity, now, after_outage=after_outage))
         for endpoint in by_name.values():
-            departures.extend(self._take(endpoint))
+            departures.extend(self._apply(endpoint))
         self._revision = StoreRevision(revision)
         return departures
 
@@ -174,22 +174,22 @@
 
         An entry that was written again is no longer deferred: its endpoint lives.
         """
-        if self._held_back.pop(endpoint.identity, None) is not None:
-            self._note_change()
-        return self._take(endpoint)
+        if self._deferred.pop(endpoint.identity, None) is not None:
+            self._mark_changed()
+        return self._apply(endpoint)
 
-    def _take(self, endpoint: Endpoint) -> list[Departure]:
-        if endpoint.born < self._newest_born.get(endpoint.name, 0):
+    def _apply(self, endpoint: Endpoint) -> list[Departure]:
+        if endpoint.born < self._newest_start_times.get(endpoint.name, 0):
             return []
-        departures = self._end_earlier(endpoint)
-        self._doubtful.pop(endpoint.identity, None)
-        if self._has_left(endpoint.identity):
+        departures = self._drop_earlier(endpoint)
+        self._possibly_expired.pop(endpoint.identity, None)
+        if self._was_leaving(endpoint.identity):
             endpoint = replace(endpoint, stage=EndpointStage.LEAVING)
         previous = self._endpoints.get(endpoint.identity)
         self._endpoints[endpoint.identity] = endpoint
         self._identities[endpoint.name] = endpoint.identity
         if previous != endpoint:
-            self._note_change()
+            self._mark_changed()
         if endpoint.stage is EndpointStage.READY:
             return departures
         if endpoint.identity in self._leaving:
@@ -211,7 +211,7 @@
         if endpoint is None:
             return []
         if after_outage and endpoint.stage is EndpointStage.READY:
-            self._doubtful.setdefault(identity, now + EXPIRY_GRACE_SECONDS)
+            self._possibly_expired.setdefault(identity, now + EXPIRY_GRACE_SECONDS)
             return []
         return self._drop(identity)
 
@@ -238,30 +238,30 @@
         Deferred entries that are still listed when their time is over are used from
         now on.
         """
-        for identity in [i for i, at in self._held_back.items() if at <= now]:
-            del self._held_back[identity]
-            self._note_change()
-        due = [identity for identity, at in self._doubtful.items() if at <= now]
+        for identity in [i for i, at in self._deferred.items() if at <= now]:
+            del self._deferred[identity]
+            self._mark_changed()
+        due = [identity for identity, at in self._possibly_expired.items() if at <= now]
         return [departure for identity in due for departure in self._drop(identity)]
 
-    def _hold_back(self, listed: Iterable[Endpoint], now: float) -> None:
+    def _defer_removed(self, listed: Iterable[Endpoint], now: float) -> None:
         """Defer the removed entries that a restored store lists again."""
         for endpoint in listed:
             identity = endpoint.identity
-            if identity in self._gone and identity not in self._endpoints:
-                self._held_back[identity] = now + DEFERRAL_SECONDS
+            if identity in self._removed and identity not in self._endpoints:
+                self._deferred[identity] = now + DEFERRAL_SECONDS
 
-    def _has_left(self, identity: str) -> bool:
+    def _was_leaving(self, identity: str) -> bool:
         """Return whether an incarnation was ever known to leave."""
         known = self._endpoints.get(identity)
-        is_known_to = known is not None and known.stage is EndpointStage.LEAVING
-        return is_known_to or identity in self._leaving
+        is_known_leaving = known is not None and known.stage is EndpointStage.LEAVING
+        return is_known_leaving or identity in self._leaving
 
-    def _end_earlier(self, endpoint: Endpoint) -> list[Departure]:
+    def _drop_earlier(self, endpoint: Endpoint) -> list[Departure]:
         """Drop the earlier incarnation that has the endpoint's name, if any."""
         if endpoint.born:
             put_newest(
-                self._newest_born,
+                self._newest_start_times,
                 endpoint.name,
                 endpoint.born,
                 MAX_REMEMBERED_IDENTITIES,
@@ -269,17 +269,17 @@
         known = self._identities.get(endpoint.name, endpoint.identity)
         return [] if known == endpoint.identity else self.mark_restarted(known)
 
-    def _note_change(self) -> None:
+    def _mark_changed(self) -> None:
         self._fingerprint = None
         self._placeable.clear()
 
     def _drop(self, identity: str, *, is_restarted: bool = False) -> list[Departure]:
-        self._doubtful.pop(identity, None)
+        self._possibly_expired.pop(identity, None)
         endpoint = self._endpoints.pop(identity)
         self._identities.pop(endpoint.name, None)
-        self._held_back.pop(identity, None)
-        put_newest(self._gone, identity, None, MAX_REMEMBERED_IDENTITIES)
-        self._note_change()
+        self._deferred.pop(identity, None)
+        put_newest(self._removed, identity, None, MAX_REMEMBERED_IDENTITIES)
+        self._mark_changed()
         if endpoint.stage is EndpointStage.LEAVING:
             put_newest(self._leaving, identity, None, MAX_REMEMBERED_IDENTITIES)
         return [Departure(endpoint, is_gone=True, is_restarted=is_restarted)]
--- a/src/piershore/core/fleet/endpoint_rate_limits.py
+++ b/src/piershore/core/fleet/endpoint_rate_limits.py
@@ -93,7 +93,7 @@
     def __init__(self, shares: RateShares) -> None:
         self._shares = shares
         self._latest: dict[str, AdvertisedRate] = {}
-        self._own: dict[str, AdvertisedRate] = {}
+        self._received: dict[str, AdvertisedRate] = {}
         self._sent = SentRequests()
 
     def rate(self, identity: str) -> float:
@@ -112,23 +112,25 @@
     def record_answer(self, identity: str, rate: float, now: float) -> bool:
         """Record the rate in an answer; return whether the limit has changed."""
         latest = self._latest.get(identity)
-        if rate == UNLIMITED and not self._may_end(latest, now):
+        if rate == UNLIMITED and not self._ends_limit(latest, now):
             return False
-        named = AdvertisedRate(rate, now)
-        self._own[identity] = self._latest[identity] = named
+        advertised = AdvertisedRate(rate, now)
+        self._received[identity] = self._latest[identity] = advertised
         return latest is None or latest.rate != rate
 
-    def apply_report(self, told: Mapping[str, RateReport], now: float) -> Iterator[str]:
+    def apply_report(
+        self, reported: Mapping[str, RateReport], now: float
+    ) -> Iterator[str]:
         """Apply a peer's report; yield the endpoints whose limit has changed."""
-        for identity, report in told.items():
-            named = AdvertisedRate(report.rate, now - report.age)
+        for identity, report in reported.items():
+            advertised = AdvertisedRate(report.rate, now - report.age)
             latest = self._latest.get(identity)
-            if latest is None and not named.is_limit:
+            if latest is None and not advertised.is_limit:
                 continue
-            if latest is not None and latest.at >= named.at:
+            if latest is not None and latest.at >= advertised.at:
                 continue
-            self._latest[identity] = named
-            if latest is None or latest.rate != named.rate:
+            self._latest[identity] = advertised
+            if latest is None or latest.rate != advertised.rate:
                 yield identity
 
     def report(self, now: float) -> dict[str, RateReport]:
@@ -136,11 +138,13 @@
 
         Rates that peers reported aren't passed on: they would look newer each time.
         """
-        lately = {i: n for i, n in self._own.items() if now - n.at < REPORTED_SECONDS}
-        newest = sorted(lately, key=lambda i: lately[i].at, reverse=True)[
+        recent = {
+            i: r for i, r in self._received.items() if now - r.at < REPORTED_SECONDS
+        }
+        newest = sorted(recent, key=lambda i: recent[i].at, reverse=True)[
             :MAX_REPORTED_ENDPOINTS
         ]
-        return {i: RateReport(lately[i].rate, now - lately[i].at) for i in newest}
+        return {i: RateReport(recent[i].rate, now - recent[i].at) for i in newest}
 
     def may_send(self, endpoint: Endpoint, now: float) -> bool:
         """Return whether this gateway may send a request to an endpoint now."""
@@ -175,7 +179,7 @@
         if share is None:
             return inf
         quota = self._quota(latest.rate, share)
-        if self._may_ask(endpoint.identity, latest, share, quota.window, now):
+        if self._should_probe(endpoint.identity, latest, share, quota.window, now):
             return 0.0
         if not quota.requests:
             return inf
@@ -204,14 +208,14 @@
     def forget(self, identity: str) -> None:
         """Drop the limit and the sent requests of an endpoint that was removed."""
         self._latest.pop(identity, None)
-        self._own.pop(identity, None)
+        self._received.pop(identity, None)
         self._sent.forget(identity)
 
     def drop_expired(self, now: float) -> None:
         """Drop unconfirmed limits, and ended ones that no longer need reporting."""
-        for identity, named in list(self._latest.items()):
-            kept = FORGET_SECONDS if named.is_limit else REPORTED_SECONDS
-            if now - named.at >= kept:
+        for identity, latest in list(self._latest.items()):
+            max_age = FORGET_SECONDS if latest.is_limit else REPORTED_SECONDS
+            if now - latest.at >= max_age:
                 self.forget(identity)
 
     def _quota(self, rate: float, share: Share) -> RateQuota:
@@ -220,13 +224,13 @@
         return RateQuota(share.quota(quota.requests), quota.window)
 
     @staticmethod
-    def _may_end(latest: AdvertisedRate | None, now: float) -> bool:
+    def _ends_limit(latest: AdvertisedRate | None, now: float) -> bool:
         """Return whether an answer without a rate ends a limit."""
         if latest is None:
             return False
         return not latest.is_limit or now - latest.at >= MAX_REORDERING_SECONDS
 
-    def _may_ask(
+    def _should_probe(
         self,
         identity: str,
         latest: AdvertisedRate,
@@ -235,7 +239,7 @@
         now: float,
     ) -> bool:
         """Return whether this gateway should probe whether a limit still applies."""
-        unconfirmed = max(PROBE_AFTER_SECONDS, 2 * window)
-        asks_at = latest.at + unconfirmed + share.rank * PROBE_STAGGER_SECONDS
+        probe_after = max(PROBE_AFTER_SECONDS, 2 * window)
+        probe_at = latest.at + probe_after + share.rank * PROBE_STAGGER_SECONDS
         sent_at = self._sent.latest(identity, 1)
-        return now >= asks_at and (sent_at is None or now >= sent_at + unconfirmed)
+        return now >= probe_at and (sent_at is None or now >= sent_at + probe_after)
--- a/src/piershore/core/fleet/evacuation_plan.py
+++ b/src/piershore/core/fleet/evacuation_plan.py
@@ -69,12 +69,12 @@
     targets = [target for target in others if target.identity != source.identity]
     if len(targets) <= MAX_TARGETS:
         return targets
-    return nsmallest(MAX_TARGETS, targets, key=partial(_tie, source))
+    return nsmallest(MAX_TARGETS, targets, key=partial(_tie_breaker, source))
 
 
 def plan_evacuation(
     source: Endpoint,
-    notes: Iterable[StreamReport],
+    reports: Iterable[StreamReport],
     targets: Sequence[Endpoint],
     loads: Mapping[str, EndpointLoad],
     engine: EngineSpec,
@@ -85,10 +85,10 @@
     filled evenly as far as the time allows: a copy to another data hall takes twice as
     long.
     """
-    ordered = sorted(notes, key=_copy_order)
+    ordered = sorted(reports, key=_copy_order)
     moves: tuple[PlannedMove, ...] = ()
-    for remote_tokens in REMOTE_PENALTY_TOKENS:
-        planner = _Planner(source, targets, loads, engine, remote_tokens)
+    for penalty_tokens in REMOTE_PENALTY_TOKENS:
+        planner = _Planner(source, targets, loads, engine, penalty_tokens)
         moves = tuple(planner.plan(ordered))
         if planner.seconds <= COPY_BUDGET_SECONDS:
             break
@@ -104,50 +104,50 @@
         targets: Sequence[Endpoint],
         loads: Mapping[str, EndpointLoad],
         engine: EngineSpec,
-        remote_tokens: int,
+        remote_penalty_tokens: int,
     ) -> None:
         self._source = source
         self._targets = targets
         self._loads = loads
         self._engine = engine
-        self._remote_tokens = remote_tokens
-        self._added = dict.fromkeys((target.identity for target in targets), 0)
+        self._remote_penalty_tokens = remote_penalty_tokens
+        self._planned_tokens = dict.fromkeys((target.identity for target in targets), 0)
         self.seconds = 0.0
 
-    def plan(self, notes: Iterable[StreamReport]) -> Iterator[PlannedMove]:
+    def plan(self, reports: Iterable[StreamReport]) -> Iterator[PlannedMove]:
         """Yield a move for each stream; then `seconds` is the time of all copies."""
-        for note in notes:
-            target = min(self._targets, key=partial(self._rank, note), default=None)
+        for report in reports:
+            target = min(self._targets, key=partial(self._rank, report), default=None)
             if target is None:
                 return
             start = self.seconds
             self.seconds += self._engine.copy_seconds(
-                note.held_tokens, within_data_hall=not self._is_remote(target)
+                report.held_tokens, within_data_hall=not self._is_remote(target)
             )
-            way = MoveMethod.COPY
-            if self.seconds > COPY_BUDGET_SECONDS and note.has_backup:
-                way = MoveMethod.BACKUP
-            yield PlannedMove(note.request, target, start, way)
-            self._added[target.identity] += note.held_tokens
+            method = MoveMethod.COPY
+            if self.seconds > COPY_BUDGET_SECONDS and report.has_backup:
+                method = MoveMethod.BACKUP
+            yield PlannedMove(report.request, target, start, method)
+            self._planned_tokens[target.identity] += report.held_tokens
 
-    def _rank(self, note: StreamReport, target: Endpoint) -> tuple:
+    def _rank(self, report: StreamReport, target: Endpoint) -> tuple:
         load = self._loads.get(target.identity, NO_LOAD)
-        tokens = load.projected_tokens + self._added[target.identity]
+        tokens = load.projected_tokens + self._planned_tokens[target.identity]
         is_full = (
-            tokens + note.held_tokens > MAX_MEMORY_SHARE * self._engine.memory_tokens
+            tokens + report.held_tokens > MAX_MEMORY_SHARE * self._engine.memory_tokens
         )
         if self._is_remote(target):
-            tokens += self._remote_tokens
-        return is_full, tokens // LOAD_STEP_TOKENS, _tie(self._source, target)
+            tokens += self._remote_penalty_tokens
+        return is_full, tokens // LOAD_STEP_TOKENS, _tie_breaker(self._source, target)
 
     def _is_remote(self, target: Endpoint) -> bool:
         return target.data_hall != self._source.data_hall
 
 
-def _tie(source: Endpoint, target: Endpoint) -> int:
+def _tie_breaker(source: Endpoint, target: Endpoint) -> int:
     return stable_hash(source.identity, target.identity)
 
 
-def _copy_order(note: StreamReport) -> tuple:
+def _copy_order(report: StreamReport) -> tuple:
     """Return the sort key of a stream: first those that can't continue otherwise."""
-    return note.has_backup, not note.has_begun, note.held_tokens, note.request
+    return report.has_backup, not report.has_begun, report.held_tokens, report.request
--- a/src/piershore/core/fleet/notice_handler.py
+++ b/src/piershore/core/fleet/notice_handler.py
@@ -34,11 +34,11 @@
     def __init__(
         self,
         directory: EndpointDirectory,
-        rests: RequestedBackoffs,
+        backoffs: RequestedBackoffs,
         limits: EndpointRateLimits,
     ) -> None:
         self._directory = directory
-        self._rests = rests
+        self._backoffs = backoffs
         self._limits = limits
         self._last: dict[str, EndpointNotice] = {}
 
@@ -55,8 +55,8 @@
             departures = self._directory.mark_leaving(identity)
         is_new = notice not in (UNRESTRICTED_NOTICE, self._last.get(identity))
         if notice.rest_seconds is not None:
-            is_new = is_new or not self._rests.is_active(identity, now)
-            self._rests.record(identity, notice.rest_seconds, now)
+            is_new = is_new or not self._backoffs.is_active(identity, now)
+            self._backoffs.record(identity, notice.rest_seconds, now)
         has_new_limit = False
         if notice.rate_limit is not None:
             rate = notice.rate_limit
--- a/src/piershore/core/fleet/rate_shares.py
+++ b/src/piershore/core/fleet/rate_shares.py
@@ -43,7 +43,7 @@
         self._subsets = subsets
         self._configuration = configuration
         self._view = subsets.view, configuration.version
-        self._known: dict[str, Share | None] = {}
+        self._shares: dict[str, Share | None] = {}
 
     def __len__(self) -> int:
         """Return the number of gateways, this one included."""
@@ -54,19 +54,19 @@
         view = self._subsets.view, self._configuration.version
         if self._view != view:
             self._view = view
-            self._known.clear()
-        if endpoint.identity not in self._known:
-            self._known[endpoint.identity] = self._share(endpoint)
-        return self._known[endpoint.identity]
+            self._shares.clear()
+        if endpoint.identity not in self._shares:
+            self._shares[endpoint.identity] = self._share(endpoint)
+        return self._shares[endpoint.identity]
 
     def _share(self, endpoint: Endpoint) -> Share | None:
-        sharers = self._sharers(endpoint)
-        if sharers is None:
+        peers = self._sharing_peers(endpoint)
+        if peers is None:
             return None
-        order = rendezvous_order(endpoint.identity, [self._own_host, *sharers])
+        order = rendezvous_order(endpoint.identity, [self._own_host, *peers])
         return Share(order.index(self._own_host), len(order))
 
-    def _sharers(self, endpoint: Endpoint) -> list[str] | None:
+    def _sharing_peers(self, endpoint: Endpoint) -> list[str] | None:
         """Return the peers whose subsets include an endpoint.
 
         None if this gateway's subset doesn't. Only engines are placed by subsets.
--- a/src/piershore/core/fleet/requested_backoffs.py
+++ b/src/piershore/core/fleet/requested_backoffs.py
@@ -18,15 +18,15 @@
     """
 
     def __init__(self) -> None:
-        self._rests: dict[str, Backoff] = {}
+        self._backoffs: dict[str, Backoff] = {}
 
     def __len__(self) -> int:
-        return len(self._rests)
+        return len(self._backoffs)
 
     def record(self, identity: str, seconds: float, now: float) -> None:
         """Record that an endpoint requests a backoff of some seconds."""
         self.drop_expired(now)
-        self._rests.setdefault(identity, Backoff()).extend(seconds, now)
+        self._backoffs.setdefault(identity, Backoff()).extend(seconds, now)
 
     def is_active(self, identity: str, now: float) -> bool:
         """Return whether a backoff that the endpoint requested is in force."""
@@ -34,11 +34,13 @@
 
     def seconds_left(self, identity: str, now: float) -> float:
         """Return the seconds until an endpoint's backoff ends, 0 if there is none."""
-        rest = self._rests.get(identity)
-        return rest.seconds_left(now) if rest else 0.0
+        backoff = self._backoffs.get(identity)
+        return backoff.seconds_left(now) if backoff else 0.0
 
     def drop_expired(self, now: float) -> None:
         """Drop the backoffs that are over."""
-        ended = [i for i, rest in self._rests.items() if not rest.seconds_left(now)]
-        for identity in ended:
-            del self._rests[identity]
+        expired = [
+            i for i, backoff in self._backoffs.items() if not backoff.seconds_left(now)
+        ]
+        for identity in expired:
+            del self._backoffs[identity]
--- a/src/piershore/core/fleet/shared_failures.py
+++ b/src/piershore/core/fleet/shared_failures.py
@@ -54,12 +54,12 @@
     """This gateway's outcomes by endpoint identity, and those that peers report."""
 
     def __init__(self) -> None:
-        self._own: dict[str, deque[tuple[float, bool]]] = {}
-        self._peers: dict[str, tuple[float, Mapping[str, OutcomeCounts]]] = {}
+        self._outcomes: dict[str, deque[tuple[float, bool]]] = {}
+        self._peer_reports: dict[str, tuple[float, Mapping[str, OutcomeCounts]]] = {}
 
     def record(self, identity: str, now: float, *, failed: bool) -> None:
         """Record the outcome of an attempt by this gateway."""
-        outcomes = self._own.setdefault(identity, deque(maxlen=MAX_OUTCOMES))
+        outcomes = self._outcomes.setdefault(identity, deque(maxlen=MAX_OUTCOMES))
         outcomes.append((now, failed))
 
     def apply_report(
@@ -67,9 +67,9 @@
     ) -> None:
         """Replace the last report of a peer."""
         if outcomes:
-            self._peers[peer] = (now, outcomes)
+            self._peer_reports[peer] = (now, outcomes)
         else:
-            self._peers.pop(peer, None)
+            self._peer_reports.pop(peer, None)
 
     def report(self, now: float) -> dict[str, OutcomeCounts]:
         """Return this gateway's outcomes at endpoints with recent failures.
@@ -77,49 +77,51 @@
         Successes are reported too where only peers have failures: these may be due to
         the peers' own network paths.
         """
-        self._forget(now)
-        told = {identity for _, report in self._peers.values() for identity in report}
-        counts = {identity: self._count(identity) for identity in self._own}
-        tellable = (
+        self._drop_expired(now)
+        reported = {
+            identity for _, report in self._peer_reports.values() for identity in report
+        }
+        counts = {identity: self._count(identity) for identity in self._outcomes}
+        reportable = (
             (identity, count)
             for identity, count in counts.items()
-            if count.failures or identity in told
+            if count.failures or identity in reported
         )
-        return dict(nlargest(MAX_REPORTED_ENDPOINTS, tellable, key=_failures))
+        return dict(nlargest(MAX_REPORTED_ENDPOINTS, reportable, key=_failures))
 
     def is_failing(self, identity: str, now: float) -> bool:
         """Return whether the fleet's outcomes show that an endpoint fails."""
         start = now - WINDOW_SECONDS
-        self._forget_outcomes(identity, start)
-        told = (report for at, report in self._peers.values() if at >= start)
-        counts = (report.get(identity, NO_COUNTS) for report in told)
+        self._drop_expired_outcomes(identity, start)
+        reports = (report for at, report in self._peer_reports.values() if at >= start)
+        counts = (report.get(identity, NO_COUNTS) for report in reports)
         return sum(counts, self._count(identity)).are_failing
 
     def forget(self, identity: str) -> None:
         """Drop this gateway's outcomes at an endpoint that was removed."""
-        self._own.pop(identity, None)
+        self._outcomes.pop(identity, None)
 
     def _count(self, identity: str) -> OutcomeCounts:
-        outcomes = self._own.get(identity, ())
+        outcomes = self._outcomes.get(identity, ())
         failures = sum(failed for _, failed in outcomes)
         return OutcomeCounts(failures, len(outcomes) - failures)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         start = now - WINDOW_SECONDS
-        for identity in list(self._own):
-            self._forget_outcomes(identity, start)
-        for peer, (at, _) in list(self._peers.items()):
+        for identity in list(self._outcomes):
+            self._drop_expired_outcomes(identity, start)
+        for peer, (at, _) in list(self._peer_reports.items()):
             if at < start:
-                del self._peers[peer]
+                del self._peer_reports[peer]
 
-    def _forget_outcomes(self, identity: str, start: float) -> None:
-        outcomes = self._own.get(identity)
+    def _drop_expired_outcomes(self, identity: str, start: float) -> None:
+        outcomes = self._outcomes.get(identity)
         if outcomes is None:
             return
         while outcomes and outcomes[0][0] < start:
             outcomes.popleft()
         if not outcomes:
-            del self._own[identity]
+            del self._outcomes[identity]
 
 
 def _failures(item: tuple[str, OutcomeCounts]) -> int:
--- a/src/piershore/core/fleet/store_era.py
+++ b/src/piershore/core/fleet/store_era.py
@@ -18,9 +18,9 @@
 
     def __init__(self) -> None:
         self._value = 0
-        self._fell_at: float | None = None
+        self._regressed_at: float | None = None
         self._finding = ""
-        self._told = ""
+        self._last_finding = ""
 
     @property
     def value(self) -> int:
@@ -35,16 +35,18 @@
         the known era stays the highest even then.
         """
         if text is None:
-            self._note("a response carries no era" if self._value else "")
+            self._record_finding("a response carries no era" if self._value else "")
             return True
         if not _is_era(text):
-            self._note(f"{text[:MAX_ERA_DIGITS]!r} is not a valid era")
+            self._record_finding(f"{text[:MAX_ERA_DIGITS]!r} is not a valid era")
             return True
         era = int(text)
         if era < self._value:
-            self._note(f"a response is of era {era}, after one of era {self._value}")
-            return self._falls_for_long(now)
-        self._value, self._fell_at = era, None
+            self._record_finding(
+                f"a response is of era {era}, after one of era {self._value}"
+            )
+            return self._has_regressed_for_long(now)
+        self._value, self._regressed_at = era, None
         return True
 
     def take_finding(self) -> str:
@@ -55,14 +57,14 @@
         finding, self._finding = self._finding, ""
         return finding
 
-    def _falls_for_long(self, now: float) -> bool:
-        if self._fell_at is None:
-            self._fell_at = now
-        return now - self._fell_at > MAX_REGRESSION_SECONDS
+    def _has_regressed_for_long(self, now: float) -> bool:
+        if self._regressed_at is None:
+            self._regressed_at = now
+        return now - self._regressed_at > MAX_REGRESSION_SECONDS
 
-    def _note(self, finding: str) -> None:
-        if finding and finding != self._told:
-            self._finding = self._told = finding
+    def _record_finding(self, finding: str) -> None:
+        if finding and finding != self._last_finding:
+            self._finding = self._last_finding = finding
 
 
 def _is_era(text: str) -> bool:
--- a/src/piershore/core/fleet/store_silence.py
+++ b/src/piershore/core/fleet/store_silence.py
@@ -28,9 +28,9 @@
     is_overdue: bool
 
 
-def is_store_silent(signs: Iterable[StoreLiveness]) -> bool:
+def is_store_silent(observations: Iterable[StoreLiveness]) -> bool:
     """Return whether the store answers no gateway, given what each has observed."""
-    signs = list(signs)
-    if not any(sign.is_overdue for sign in signs):
+    observations = list(observations)
+    if not any(observation.is_overdue for observation in observations):
         return False
-    return min(sign.answer_age for sign in signs) > SILENT_SECONDS
+    return min(observation.answer_age for observation in observations) > SILENT_SECONDS
--- a/src/piershore/core/fleet/watchers.py
+++ b/src/piershore/core/fleet/watchers.py
@@ -19,7 +19,7 @@
 
 MIN_WATCHERS = 2
 """Watchers with access to the store that make a gateway's own watch unnecessary."""
-WIDE_SHARE = 0.5
+PREFERRED_BANDWIDTH_SHARE = 0.5
 """Links with at least this share of the fastest link's bandwidth in the data hall are
 preferred."""
 
@@ -37,17 +37,25 @@
 def should_watch_store(own: WatchCandidate, peers: Iterable[WatchCandidate]) -> bool:
     """Return whether the gateway `own` should watch the store itself."""
     peers = list(peers)
-    halls: dict[str, list[WatchCandidate]] = {}
+    by_data_hall: dict[str, list[WatchCandidate]] = {}
     for gateway in (own, *peers):
-        halls.setdefault(gateway.data_hall, []).append(gateway)
-    relays = {host for hall, group in halls.items() for host in _relays(hall, group)}
+        by_data_hall.setdefault(gateway.data_hall, []).append(gateway)
+    relays = {
+        host
+        for data_hall, group in by_data_hall.items()
+        for host in _relays(data_hall, group)
+    }
     if own.host in relays:
         return True
-    heard = sum(peer.reads_store for peer in peers if peer.host in relays)
-    return heard < MIN_WATCHERS
+    watchers = sum(peer.reads_store for peer in peers if peer.host in relays)
+    return watchers < MIN_WATCHERS
 
 
 def _relays(data_hall: str, gateways: list[WatchCandidate]) -> list[str]:
-    widest = max(gateway.link_megabits for gateway in gateways)
-    wide = {g.host for g in gateways if g.link_megabits >= WIDE_SHARE * widest}
-    return relays_of(data_hall, (g.host for g in gateways), preferred=wide)
+    fastest = max(gateway.link_megabits for gateway in gateways)
+    preferred = {
+        g.host
+        for g in gateways
+        if g.link_megabits >= PREFERRED_BANDWIDTH_SHARE * fastest
+    }
+    return relays_of(data_hall, (g.host for g in gateways), preferred=preferred)
--- a/src/piershore/core/quarantine/crash_report.py
+++ b/src/piershore/core/quarantine/crash_report.py
@@ -39,25 +39,25 @@
     return data.startswith(PREFIX)
 
 
-def encode_reports(notes: Iterable[CrashReport]) -> bytes:
+def encode_reports(reports: Iterable[CrashReport]) -> bytes:
     """Return one datagram with the reports."""
     return PREFIX + orjson.dumps(
-        [[n.content, sorted(n.crashed), sorted(n.cleared), n.probes] for n in notes]
+        [[r.content, sorted(r.crashed), sorted(r.cleared), r.probes] for r in reports]
     )
 
 
 def decode_reports(data: bytes) -> tuple[CrashReport, ...]:
     """Decode a datagram; raise `InvalidReportError` if it isn't valid."""
     try:
-        return tuple(_note(*fields) for fields in orjson.loads(data[len(PREFIX) :]))
+        return tuple(_report(*fields) for fields in orjson.loads(data[len(PREFIX) :]))
     except (ValueError, TypeError) as error:
         raise InvalidReportError(f"invalid crash reports: {error!r}") from error
 
 
-def _note(content: object, crashed: object, excused: object, probes: object):
+def _report(content: object, crashed: object, cleared: object, probes: object):
     if not isinstance(probes, int) or probes < 0:
         raise ValueError("probes must be a count")
-    return CrashReport(_name(content), _names(crashed), _names(excused), probes)
+    return CrashReport(_name(content), _names(crashed), _names(cleared), probes)
 
 
 def _names(value: object) -> frozenset[str]:
--- a/src/piershore/core/quarantine/quarantine.py
+++ b/src/piershore/core/quarantine/quarantine.py
@@ -40,80 +40,80 @@
 
 @dataclass
 class _Record:
-    most_crashes: int
+    crash_threshold: int
     crashed: set[str] = field(default_factory=set)
-    excused: set[str] = field(default_factory=set)
+    cleared: set[str] = field(default_factory=set)
     probes: int = 0
-    held_until: float = -inf
-    seen_at: float = -inf
+    quarantined_until: float = -inf
+    last_seen_at: float = -inf
 
     @property
     def crashes(self) -> int:
         """The number of crashes that the request may have caused."""
-        return len(self.crashed - self.excused)
+        return len(self.crashed - self.cleared)
 
     @property
-    def is_held(self) -> bool:
+    def is_quarantined(self) -> bool:
         """Whether the request is released only as a probe."""
-        return self.crashes >= self.most_crashes
+        return self.crashes >= self.crash_threshold
 
-    def hold(self, now: float) -> None:
+    def schedule_probe(self, now: float) -> None:
         """Set the time of the next probe, after a crash or a probe."""
-        self.held_until = -inf
-        if self.is_held:
-            step = max(self.crashes - self.most_crashes, self.probes)
-            later = (
+        self.quarantined_until = -inf
+        if self.is_quarantined:
+            step = max(self.crashes - self.crash_threshold, self.probes)
+            delay = (
                 PROBE_DELAYS_SECONDS[step] if step < len(PROBE_DELAYS_SECONDS) else inf
             )
-            self.held_until = now + later
+            self.quarantined_until = now + delay
 
-    def excuse(self, now: float) -> bool:
+    def clear_crashes(self, now: float) -> bool:
         """Clear the request of all crashes so far; return whether there were any."""
         if not self.crashes:
             return False
-        self.excused |= self.crashed
-        self.hold(now)
+        self.cleared |= self.crashed
+        self.schedule_probe(now)
         return True
 
-    def merge(self, note: CrashReport) -> bool:
+    def merge(self, report: CrashReport) -> bool:
         """Merge a report; return whether any of it is new."""
-        before = len(self.crashed), len(self.excused), self.probes
-        room = MAX_ENDPOINTS - len(self.crashed)
-        self.crashed.update(islice(sorted(note.crashed - self.crashed), room))
-        self.excused.update(note.cleared & self.crashed)
-        self.probes = max(self.probes, note.probes)
-        return before != (len(self.crashed), len(self.excused), self.probes)
-
-    def note(self, content: str) -> CrashReport:
+        before = len(self.crashed), len(self.cleared), self.probes
+        capacity = MAX_ENDPOINTS - len(self.crashed)
+        self.crashed.update(islice(sorted(report.crashed - self.crashed), capacity))
+        self.cleared.update(report.cleared & self.crashed)
+        self.probes = max(self.probes, report.probes)
+        return before != (len(self.crashed), len(self.cleared), self.probes)
+
+    def report(self, content: str) -> CrashReport:
         """Return the report for peers."""
-        crashed, excused = frozenset(self.crashed), frozenset(self.excused)
-        return CrashReport(content, crashed, excused, self.probes)
+        crashed, cleared = frozenset(self.crashed), frozenset(self.cleared)
+        return CrashReport(content, crashed, cleared, self.probes)
 
 
 class Quarantine:
     """Suspected and quarantined requests by their digest, and their crashes."""
 
-    def __init__(self, most_crashes: int = CRASHES_BEFORE_QUARANTINE) -> None:
-        self._most_crashes = most_crashes
+    def __init__(self, crash_threshold: int = CRASHES_BEFORE_QUARANTINE) -> None:
+        self._crash_threshold = crash_threshold
         self._records: dict[str, _Record] = {}
-        self._sound: dict[str, float] = {}
+        self._completed: dict[str, float] = {}
 
     def __len__(self) -> int:
         """Return the number of quarantined requests."""
-        return sum(record.is_held for record in self._records.values())
+        return sum(record.is_quarantined for record in self._records.values())
 
     def seconds_until_release(self, content: str, now: float) -> float | None:
         """Return the seconds until a request may be sent; None if it may be now."""
         record = self._records.get(content)
         if record is None:
             return None
-        if now - record.seen_at > FORGET_SECONDS:
+        if now - record.last_seen_at > FORGET_SECONDS:
             del self._records[content]
             return None
-        if now >= record.held_until:
+        if now >= record.quarantined_until:
             return None
-        record.seen_at = now
-        return min(record.held_until - now, FORGET_SECONDS)
+        record.last_seen_at = now
+        return min(record.quarantined_until - now, FORGET_SECONDS)
 
     def record_sent(self, content: str, now: float) -> bool:
         """Record that a request is sent to an endpoint; return whether as a probe.
@@ -121,10 +121,10 @@
         A probe defers the next one, here and at all peers that receive the report.
         """
         record = self._records.get(content)
-        if record is None or not record.is_held:
+        if record is None or not record.is_quarantined:
             return False
         record.probes += 1
-        record.hold(now)
+        record.schedule_probe(now)
         return True
 
     def record_crash(self, content: str, identity: str, now: float) -> int:
@@ -133,60 +133,62 @@
         0 if the crash is known already, or if the request completed recently and is not
         suspected.
         """
-        note = CrashReport(content, frozenset({identity}))
-        if not self.apply_report(note, now) or self.clear_if_completed(content, now):
+        report = CrashReport(content, frozenset({identity}))
+        if not self.apply_report(report, now) or self.clear_if_completed(content, now):
             return 0
         return self._records[content].crashes
 
     def record_completion(self, content: str, now: float) -> bool:
         """Record that a request completed; return whether this clears it of crashes."""
-        put_newest(self._sound, content, now, MAX_COMPLETED_REQUESTS)
+        put_newest(self._completed, content, now, MAX_COMPLETED_REQUESTS)
         record = self._records.get(content)
-        return record is not None and record.excuse(now)
+        return record is not None and record.clear_crashes(now)
 
     def clear_if_completed(self, content: str, now: float) -> bool:
         """Clear a request of crashes if it completed here recently.
 
         Return whether there were any.
         """
-        sound_at = self._sound.get(content, -inf)
+        completed_at = self._completed.get(content, -inf)
         record = self._records.get(content)
-        if record is None or now - sound_at > RECENTLY_COMPLETED_SECONDS:
+        if record is None or now - completed_at > RECENTLY_COMPLETED_SECONDS:
             return False
-        return record.excuse(now)
+        return record.clear_crashes(now)
 
-    def apply_report(self, note: CrashReport, now: float) -> bool:
+    def apply_report(self, report: CrashReport, now: float) -> bool:
         """Apply a gateway's report; return whether any of it is new."""
-        record = self._records.get(note.content) or _Record(self._most_crashes)
-        if not record.merge(note):
+        record = self._records.get(report.content) or _Record(self._crash_threshold)
+        if not record.merge(report):
             return False
-        record.seen_at = now
-        record.hold(now)
+        record.last_seen_at = now
+        record.schedule_probe(now)
         # The newest is last, and is evicted last.
-        self._records.pop(note.content, None)
-        self._records[note.content] = record
+        self._records.pop(report.content, None)
+        self._records[report.content] = record
         self._evict()
         return True
 
     def is_quarantined(self, content: str) -> bool:
         """Return whether a request is released only as a probe."""
         record = self._records.get(content)
-        return record is not None and record.is_held
+        return record is not None and record.is_quarantined
 
     def report(self, content: str) -> CrashReport | None:
         """Return the report for peers about one request, or None."""
         record = self._records.get(content)
-        return record and record.note(content)
+        return record and record.report(content)
 
     def quarantined_reports(self) -> Iterator[CrashReport]:
         """Yield the reports for peers about all quarantined requests."""
         for content, record in self._records.items():
-            if record.is_held:
-                yield record.note(content)
+            if record.is_quarantined:
+                yield record.report(content)
 
     def _evict(self) -> None:
         """Evict the oldest of too many records, those not in quarantine first."""
         if len(self._records) <= MAX_RECORDS:
             return
-        free = (content for content, r in self._records.items() if not r.is_held)
-        del self._records[next(free, next(iter(self._records)))]
+        not_quarantined = (
+            content for content, r in self._records.items() if not r.is_quarantined
+        )
+        del self._records[next(not_quarantined, next(iter(self._records)))]
