--- a/features/steps/backoff_steps.py
+++ b/features/steps/backoff_steps.py
@@ -11,7 +11,7 @@
 import orjson
 import trio
 from behave import then, when
-from notice_steps import play, SHORT
+from notice_steps import play_runs, SHORT
 from support.core_checks import fleet_of
 from support.gateway_states import known_endpoint, state_of
 from support.placements import placement_over
@@ -25,24 +25,24 @@
 from piershore.platform.headers import PlatformDialect
 
 PAUSE_SECONDS = 0.01
-LATEST_COME_BACK = 1.25
+MAX_RETRY_AFTER_RATIO = 1.25
 """Retries of callers are spread over up to this multiple of the backoff."""
 SERVICES = {"the desk": "desk", "the model": "model"}
-REST_SECONDS = 5.0
+BACKOFF_SECONDS = 5.0
 STEP_SECONDS = 1 / 64
 LARGE_SIZE = "11000,{}"
 """Prompt tokens of a stream that gets a backup."""
 
 
-@when("for 9 seconds one refuses calls and requests a backoff of {rest:g} s")
-def play_rest(context, rest):
-    play(context, rest=rest)
+@when("for 9 seconds one refuses calls and requests a backoff of {backoff:g} s")
+def play_backoffs(context, backoff):
+    play_runs(context, rest=backoff)
 
 
-@then("at most {most:d} calls from one gateway reach it within a backoff")
-def check_rests(context, most):
+@then("at most {maximum:d} calls from one gateway reach it within a backoff")
+def check_arrivals_in_backoffs(context, maximum):
     worst = [max(run.rest_arrivals()) for run in context.runs]
-    assert max(worst) <= most, worst
+    assert max(worst) <= maximum, worst
 
 
 @then("no call is refused")
@@ -51,17 +51,17 @@
     assert not any(refused), refused
 
 
-@when("an endpoint of the desk refuses a call and requests a backoff of {rest:g} s")
-def ask_rest(context, rest):
+@when("an endpoint of the desk refuses a call and requests a backoff of {backoff:g} s")
+def request_backoff(context, backoff):
     async def script(world):
         endpoint = world.endpoints[0]
-        endpoint.rest = rest
-        endpoint.sheds_until = trio.current_time() + rest / 2
+        endpoint.rest = backoff
+        endpoint.sheds_until = trio.current_time() + backoff / 2
         context.replies = []
         while not endpoint.rests:
             context.replies.append(await world.call("once"))
-        context.asked = endpoint.rests[0]
-        end = context.asked.at + rest
+        context.requested = endpoint.rests[0]
+        end = context.requested.at + backoff
         while trio.current_time() < end or not has_more(endpoint, end):
             context.replies.append(await world.call("once"))
             await trio.sleep(PAUSE_SECONDS)
@@ -75,12 +75,12 @@
 
 
 @then("it gets no call from the gateway within that time, and some after it")
-def check_rest(context):
-    asked = context.asked
+def check_backoff(context):
+    requested = context.requested
     within = [
-        arrival.at - asked.at
+        arrival.at - requested.at
         for arrival in context.endpoint.arrivals
-        if asked.at < arrival.at < asked.at + asked.seconds
+        if requested.at < arrival.at < requested.at + requested.seconds
     ]
     assert not within, within
 
@@ -91,46 +91,46 @@
 
 
 @then(
-    'the backoff requested by a {status:d} answer with Retry-After "{value}" is {rest}'
+    'the backoff requested by a {status:d} answer with Retry-After "{value}" is {backoff}'
 )
-def check_value(context, status, value, rest):
+def check_value(context, status, value, backoff):
     headers = tuple((b"retry-after", v.encode()) for v in value.split(" and "))
     notice = PlatformDialect().read_notice(ResponseHead(status, headers))
-    if rest == "nothing":
+    if backoff == "nothing":
         assert notice.rest_seconds is None, notice
     else:
-        assert isclose(notice.rest_seconds, float(rest.removesuffix(" s"))), notice
+        assert isclose(notice.rest_seconds, float(backoff.removesuffix(" s"))), notice
 
 
 @then("a later, shorter backoff doesn't end a longer one")
 def check_longest(context):
-    rests = RequestedBackoffs()
+    backoffs = RequestedBackoffs()
     endpoint = next(iter(fleet_of(1)))
-    rests.record(endpoint.identity, 3.0, 10.0)
-    rests.record(endpoint.identity, 1.0, 11.0)
-    assert rests.is_active(endpoint.identity, 12.9)
-    assert isclose(rests.seconds_left(endpoint.identity, 12.0), 1.0)
-    assert not rests.is_active(endpoint.identity, 13.0)
-    rests.record(endpoint.identity, 1.0, 13.5)
-    rests.record(endpoint.identity, 3.0, 14.0)
-    assert rests.is_active(endpoint.identity, 16.9)
-    rests.drop_expired(17.0)
-    assert len(rests) == 0
+    backoffs.record(endpoint.identity, 3.0, 10.0)
+    backoffs.record(endpoint.identity, 1.0, 11.0)
+    assert backoffs.is_active(endpoint.identity, 12.9)
+    assert isclose(backoffs.seconds_left(endpoint.identity, 12.0), 1.0)
+    assert not backoffs.is_active(endpoint.identity, 13.0)
+    backoffs.record(endpoint.identity, 1.0, 13.5)
+    backoffs.record(endpoint.identity, 3.0, 14.0)
+    assert backoffs.is_active(endpoint.identity, 16.9)
+    backoffs.drop_expired(17.0)
+    assert len(backoffs) == 0
 
 
 @then("a backoff of one incarnation doesn't apply to the next one")
 def check_successor(context):
-    rests = RequestedBackoffs()
+    backoffs = RequestedBackoffs()
     endpoint = replace(next(iter(fleet_of(1))), born=1)
-    rests.record(endpoint.identity, 3.0, 10.0)
-    assert not rests.is_active(replace(endpoint, born=2).identity, 10.0)
+    backoffs.record(endpoint.identity, 3.0, 10.0)
+    assert not backoffs.is_active(replace(endpoint, born=2).identity, 10.0)
 
 
 def standins_of(world, service):
     return [e for e in world.endpoints if e.service == service]
 
 
-def let_rest(world, standins, seconds):
+def record_backoffs(world, standins, seconds):
     """Record that endpoints have just requested a backoff of a gateway."""
     state = state_of(world)
     for standin in standins:
@@ -143,18 +143,18 @@
     return await world.call(kind, size=size, **named)
 
 
-@when("all endpoints of {service} request a backoff of {rest:g} s")
-def ask_all(context, service, rest):
+@when("all endpoints of {service} request a backoff of {backoff:g} s")
+def request_all_backoffs(context, service, backoff):
     async def script(world):
         standins = standins_of(world, SERVICES[service])
         for standin in standins:
-            standin.rest = rest
-            standin.sheds_until = trio.current_time() + rest
+            standin.rest = backoff
+            standin.sheds_until = trio.current_time() + backoff
         kind = "stream" if SERVICES[service] == "model" else "once"
         while not all(standin.rests for standin in standins):
             await send(world, kind)
         context.standins = standins
-        context.first_end = min(s.rests[0].at for s in standins) + rest
+        context.first_end = min(s.rests[0].at for s in standins) + backoff
         context.replies = {}
         for kind in ("once", "repeatable", "stream"):
             started = trio.current_time()
@@ -168,14 +168,18 @@
     'a "{kind}" request is refused within {seconds:g} s, to retry when the first backoff'
     " ends"
 )
-def check_come_back(context, kind, seconds):
+def check_retry_after(context, kind, seconds):
     reply, started, ended = context.replies[kind]
     assert reply.status == 503, vars(reply)
     assert b'"endpoints_resting"' in reply.body
     assert ended - started < seconds
-    left = context.first_end - ended
-    come_back = float(reply.headers["retry-after"])
-    assert left <= come_back <= LATEST_COME_BACK * (context.first_end - started) + 0.01
+    remaining = context.first_end - ended
+    retry_after = float(reply.headers["retry-after"])
+    assert (
+        remaining
+        <= retry_after
+        <= MAX_RETRY_AFTER_RATIO * (context.first_end - started) + 0.01
+    )
 
 
 @then("no endpoint got a request within its backoff")
@@ -186,7 +190,7 @@
 @when('a "{kind}" request comes {milliseconds:d} ms before the end of all backoffs')
 def send_before_end(context, kind, milliseconds):
     async def script(world):
-        let_rest(world, world.endpoints, milliseconds / 1_000)
+        record_backoffs(world, world.endpoints, milliseconds / 1_000)
         context.reply = await send(world, kind)
 
     context.ingress.run(script)
@@ -197,7 +201,7 @@
     assert context.reply.status == 200, vars(context.reply)
 
 
-def call_while(context, happens):
+def call_while(context, action):
     """Call `happens` for the first endpoint to which a call connects, meanwhile."""
 
     async def script(world):
@@ -209,30 +213,30 @@
             connection = await take(endpoint, longest_idle)
             if not slow:
                 slow.append(endpoint)
-                happens(state, endpoint)
+                action(state, endpoint)
             return connection
 
         state.pool.take = take_slowly
         context.reply = await world.call("once", request="abc")
-        context.resting = slow[0]
+        context.avoided = slow[0]
         context.is_ejected = state.health.failure_rate(slow[0].identity) > 0
 
     context.ingress.run(script)
 
 
 @when("an endpoint requests a backoff while a call to it connects")
-def ask_while_connecting(context):
-    def rest(state, endpoint):
+def request_while_connecting(context):
+    def request(state, endpoint):
         state.backoffs.record(endpoint.identity, 1.0, trio.current_time())
 
-    call_while(context, rest)
+    call_while(context, request)
 
 
 @then("the call is served elsewhere")
 def check_elsewhere(context):
     assert context.reply.status == 200, vars(context.reply)
     ran_at = [e.identity for e in context.ingress.endpoints if e.arrivals]
-    assert ran_at != [context.resting.name]
+    assert ran_at != [context.avoided.name]
     assert len(ran_at) == 1
     assert not context.is_ejected
 
@@ -281,13 +285,13 @@
 
 
 @when(
-    "the engine of a large stream crashes {rest:g} s before the end of its backup's"
+    "the engine of a large stream crashes {backoff:g} s before the end of its backup's"
     " backoff"
 )
-def crash_before_resting(context, rest):
+def crash_before_backoff_ends(context, backoff):
     def prepare(world, backup):
-        let_rest(world, [backup], rest)
-        context.rest_ends = trio.current_time() + rest
+        record_backoffs(world, [backup], backoff)
+        context.rest_ends = trio.current_time() + backoff
 
     crash_under_stream(context, prepare)
 
@@ -299,12 +303,12 @@
 
 
 @when("an endpoint requests a backoff, and then a call is served")
-def serve_beside(context):
+def serve_during_backoff(context):
     output, context.log = tempfile.mkstemp()
     context.ingress.log_output = output
 
     async def script(world):
-        let_rest(world, world.endpoints[:1], REST_SECONDS)
+        record_backoffs(world, world.endpoints[:1], BACKOFF_SECONDS)
         await world.call("once", request="abc")
         world.gateways[0][1]._log.flush()
 
@@ -321,7 +325,7 @@
 
 @when("for 9 seconds one refuses calls without a backoff, at {rate:g} calls a second")
 def play_refusals(context, rate):
-    play(context, rest=None, rate=rate)
+    play_runs(context, rest=None, rate=rate)
 
 
 @when("an endpoint of the desk refuses calls while {count:d} come one after the other")
@@ -338,11 +342,11 @@
     context.ingress.run(script)
 
 
-@then("at most {most:d} of them reach it in a second")
-def check_refusing(context, most):
+@then("at most {maximum:d} of them reach it in a second")
+def check_refusing(context, maximum):
     times = [arrival.at for arrival in context.endpoint.arrivals]
     worst = max(sum(at <= other < at + 1.0 for other in times) for at in times)
-    assert worst <= most, times
+    assert worst <= maximum, times
 
 
 @then(
@@ -354,7 +358,7 @@
     seconds = []
     for _ in range(6):
         assert health.record_refusal("i-0", now)
-        until = next(t for t in count_up(now) if not health.is_ejected("i-0", t))
+        until = next(t for t in times_from(now) if not health.is_ejected("i-0", t))
         seconds.append(until - now)
         now = until
     assert isclose(seconds[0], first, abs_tol=STEP_SECONDS)
@@ -370,13 +374,13 @@
     assert placement.for_call("model", now).endpoint.name == "i-0"
 
 
-def count_up(start):
+def times_from(start):
     """Yield times from `start` on, in steps of `STEP_SECONDS`."""
     return (start + step * STEP_SECONDS for step in count())
 
 
 @then("it is still ejected after {count:d} ejections")
-def check_many(context, count):
+def check_many_ejections(context, count):
     health, now = EndpointHealth(), 0.0
     for _ in range(count):
         health.eject("i-0", now)
--- a/features/steps/cold_endpoint_steps.py
+++ b/features/steps/cold_endpoint_steps.py
@@ -25,12 +25,12 @@
 
 
 @then("the quotas of any number of gateways add up to what an endpoint accepts")
-def check_parts(context):
+def check_quotas(context):
     @checked(st.integers(0, 100), st.integers(1, 500))
     def check(rate, gateways):
-        parts = [Share(rank, gateways).quota(rate) for rank in range(gateways)]
-        assert sum(parts) == rate
-        assert max(parts) - min(parts) <= 1
+        quotas = [Share(rank, gateways).quota(rate) for rank in range(gateways)]
+        assert sum(quotas) == rate
+        assert max(quotas) - min(quotas) <= 1
 
 
 class ColdFleet:
@@ -44,13 +44,13 @@
             seconds = LONG_COLD_SECONDS if number < cold else 0.0
             self.directory.put(replace(endpoint, cold_seconds=seconds))
         self.hosts = [f"10.0.{n // 250}.{n % 250}" for n in range(gateways)]
-        self.living = list(self.hosts)
+        self.live_hosts = list(self.hosts)
         self.configuration = CurrentConfiguration()
         self.views = {}
         self.arrivals = defaultdict(list)
         self.refused = 0
 
-    def bear(self, rate):
+    def configure(self, rate):
         """Configure the service's cold rate, and set up each gateway's view."""
         spec = ServiceSpec("model", ENGINE, LONG_COLD_SECONDS, float(rate))
         self.configuration.apply_if_newer(
@@ -71,7 +71,7 @@
         now = 0.0
         while now < seconds:
             now += random.expovariate(rate)
-            endpoints, starts = self.views[random.choice(self.living)]
+            endpoints, starts = self.views[random.choice(self.live_hosts)]
             allowed = [e for e in endpoints if starts.may_send(e, now)]
             if not allowed:
                 self.refused += 1
@@ -82,15 +82,15 @@
             delay = random.random() * TRANSIT_JITTER_SECONDS
             self.arrivals[chosen.identity].append(now + delay)
 
-    def most_in_a_second(self, identity):
+    def max_in_a_second(self, identity):
         """Return the maximum number of arrivals in any second."""
         times = sorted(self.arrivals[identity])
-        first, most = 0, 0
+        first, maximum = 0, 0
         for last, at in enumerate(times):
             while times[first] <= at - 1.0:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            maximum = max(maximum, last - first + 1)
+        return maximum
 
 
 @given("{gateways:d} gateways before {endpoints:d} endpoints, {cold:d} of them cold")
@@ -100,13 +100,13 @@
 
 @given("cold endpoints can handle {rate:d} requests a second")
 def given_rate(context, rate):
-    context.cold_fleet.bear(rate)
+    context.cold_fleet.configure(rate)
     context.rate = rate
 
 
 @given("{count:d} of the gateways have crashed")
-def given_gone(context, count):
-    del context.cold_fleet.living[:count]
+def given_crashed(context, count):
+    del context.cold_fleet.live_hosts[:count]
 
 
 @when("{rate:d} requests come a second for {seconds:d} seconds")
@@ -116,9 +116,9 @@
 
 
 @then("no cold endpoint gets more than {rate:d} requests in any second")
-def check_most(context, rate):
+def check_maximum(context, rate):
     fleet = context.cold_fleet
-    worst = max(fleet.most_in_a_second(identity) for identity in fleet.cold)
+    worst = max(fleet.max_in_a_second(identity) for identity in fleet.cold)
     assert 0 < worst <= rate, worst
 
 
@@ -126,8 +126,8 @@
 def check_used(context, share):
     fleet = context.cold_fleet
     sent = sum(len(fleet.arrivals[identity]) for identity in fleet.cold)
-    borne = context.rate * context.seconds * len(fleet.cold)
-    assert sent >= share * borne, sent / borne
+    possible = context.rate * context.seconds * len(fleet.cold)
+    assert sent >= share * possible, sent / possible
 
 
 @then("no request is refused while a warm endpoint is available")
@@ -188,18 +188,18 @@
 
 
 @then("an endpoint is cold for the time in its entry or in a peer's report")
-def check_told(context):
-    starts, (seen, told) = cold_starts(), fleet_of(2)
-    starts.record_entry(replace(seen, cold_seconds=2.0), 10.0)
-    assert starts.is_cold(seen.identity, 11.9)
-    assert starts.report(11.0) == {seen.identity: 1.0}
-    starts.apply_report({told.identity: 3.0}, 11.0)
-    assert starts.is_cold(told.identity, 13.9)
+def check_cold_time(context):
+    starts, (listed, reported) = cold_starts(), fleet_of(2)
+    starts.record_entry(replace(listed, cold_seconds=2.0), 10.0)
+    assert starts.is_cold(listed.identity, 11.9)
+    assert starts.report(11.0) == {listed.identity: 1.0}
+    starts.apply_report({reported.identity: 3.0}, 11.0)
+    assert starts.is_cold(reported.identity, 13.9)
     # Only the gateway that read the entry reports it, else reports would circulate
     # forever.
-    assert starts.report(11.0) == {seen.identity: 1.0}
-    assert not starts.is_cold(seen.identity, 12.0)
-    assert not starts.is_cold(told.identity, 14.0)
+    assert starts.report(11.0) == {listed.identity: 1.0}
+    assert not starts.is_cold(listed.identity, 12.0)
+    assert not starts.is_cold(reported.identity, 14.0)
     assert starts.report(14.0) == {}
 
 
--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -17,7 +17,7 @@
 
 SEED = 30
 SMALL = "100,40"
-NEWS_SECONDS = 0.5
+REPORT_SECONDS = 0.5
 """Time for crash reports to reach all gateways; a small fleet needs some ms."""
 
 
@@ -28,9 +28,9 @@
     context.run.run()
 
 
-@then("it crashes at most {most:d} engines")
-def check_ended(context, most):
-    assert len(context.run.crashes) <= most, context.run.crashes
+@then("it crashes at most {maximum:d} engines")
+def check_ended(context, maximum):
+    assert len(context.run.crashes) <= maximum, context.run.crashes
 
 
 @given("{gateways:d} gateways before {engines:d} engines")
@@ -105,28 +105,28 @@
     """Send the request to gateways in turn, waiting for crash reports in between."""
     for turn in range(times):
         await send_crashing(context, turn % len(context.ingress.gateways))
-        await trio.sleep(NEWS_SECONDS)
+        await trio.sleep(REPORT_SECONDS)
 
 
-def with_own_halls(world):
+def place_engines_in_data_halls(world):
     """Place a different engine in each gateway's own data hall."""
     for number, (_, daemon) in world.gateways.items():
         near = world.endpoints[number].identity
         directory = daemon._state.directory
         for endpoint in directory.of_service("model"):
-            hall = "own" if endpoint.name == near else "other"
-            directory.put(replace(endpoint, data_hall=hall))
+            data_hall = "own" if endpoint.name == near else "other"
+            directory.put(replace(endpoint, data_hall=data_hall))
         daemon._state.placement._data_hall = "own"
 
 
-def play(context, script):
+def run_script(context, script):
     context.replies = []
 
-    async def whole(world):
+    async def script_with_peers(world):
         await wait_for_peers(world)
         await script(world)
 
-    context.ingress.run(whole)
+    context.ingress.run(script_with_peers)
 
 
 @when(
@@ -136,7 +136,7 @@
     async def script(world):
         await send_in_turn(context, times)
 
-    play(context, script)
+    run_script(context, script)
 
 
 @when(
@@ -144,17 +144,17 @@
 )
 def send_at_once(context, times):
     async def script(world):
-        with_own_halls(world)
+        place_engines_in_data_halls(world)
         async with trio.open_nursery() as nursery:
             for number in world.gateways:
                 nursery.start_soon(send_crashing, context, number)
         crashed = [e for e in world.endpoints if e.crashed_at is not None]
         assert len(crashed) == len(world.gateways), "two gateways used one engine"
-        await trio.sleep(NEWS_SECONDS)
+        await trio.sleep(REPORT_SECONDS)
         for turn in range(times):
             await send_crashing(context, turn % len(world.gateways))
 
-    play(context, script)
+    run_script(context, script)
 
 
 @when("a request that crashes engines is sent {times:d} times, then to a new gateway")
@@ -166,13 +166,13 @@
         await wait_for_peers(world)
         await send_crashing(context, number)
 
-    play(context, script)
+    run_script(context, script)
 
 
-@then("at most {most:d} engines have crashed")
-def check_crashed(context, most):
+@then("at most {maximum:d} engines have crashed")
+def check_crashed(context, maximum):
     crashed = [e for e in context.ingress.endpoints if e.crashed_at is not None]
-    assert len(crashed) <= most, len(crashed)
+    assert len(crashed) <= maximum, len(crashed)
 
 
 @then("the last {count:d} answers say that it has not run")
@@ -182,11 +182,13 @@
     assert all("retry-after" in r.headers for r in context.replies[-count:])
 
 
-@given("1 gateway before {count:d} endpoints of the desk, up to {most:d} for each call")
-def given_desk(context, count, most):
+@given(
+    "1 gateway before {count:d} endpoints of the desk, up to {maximum:d} for each call"
+)
+def given_desk(context, count, maximum):
     context.ingress = IngressWorld()
     context.ingress.add_endpoints("desk", count)
-    context.ingress.configuration["routes"][1]["max_attempts"] = most
+    context.ingress.configuration["routes"][1]["max_attempts"] = maximum
 
 
 @when("a caller sends a call that crashes them")
@@ -197,9 +199,9 @@
     context.ingress.run(script)
 
 
-@then("at most {most:d} endpoints have crashed")
-def check_endpoints(context, most):
-    check_crashed(context, most)
+@then("at most {maximum:d} endpoints have crashed")
+def check_endpoints(context, maximum):
+    check_crashed(context, maximum)
 
 
 @then("the call is answered 502 without a Retry-After header")
@@ -224,18 +226,18 @@
         world.configuration["routes"].append(changed)
         world.configuration["version"] += 1
         world.store.put("config", "main", world.configuration)
-        await trio.sleep(NEWS_SECONDS)
+        await trio.sleep(REPORT_SECONDS)
         for endpoint in world.endpoints:
             endpoint.crashing_body = None
         context.others.append(
             await world.call("other", size=SMALL, body=CRASHING_BODY, number=1)
         )
 
-    play(context, script)
+    run_script(context, script)
 
 
 @then("it is refused within {seconds:g} s with 429 and the time of the next probe")
-def check_held(context, seconds):
+def check_quarantined(context, seconds):
     reply = context.replies[-1]
     assert reply.status == 429, vars(reply)
     assert b'"endpoints_crashed"' in reply.body
--- a/features/steps/drained_hall_steps.py
+++ b/features/steps/drained_hall_steps.py
@@ -20,8 +20,8 @@
 from piershore.ingress.gateway_state import GatewayState
 from standins.published_store import StoreFault
 
-KIND = "evacuations"
-KNOWN_SECONDS = 3.0
+DRAIN_KIND = "evacuations"
+PROPAGATION_SECONDS = 3.0
 """Timeout until all gateways know of a drain; the requirement is 5 s."""
 LARGE_SIZE = "11000,{}"
 """Prompt tokens of a stream that gets a backup."""
@@ -56,13 +56,13 @@
 
 
 def drain(world, data_hall):
-    world.store.put(KIND, data_hall, {})
+    world.store.put(DRAIN_KIND, data_hall, {})
 
 
 async def wait_drained(world, *data_halls):
     """Wait until all gateways know exactly these data halls as drained."""
     wanted = frozenset(data_halls)
-    with trio.move_on_after(KNOWN_SECONDS):
+    with trio.move_on_after(PROPAGATION_SECONDS):
         for _, daemon in world.gateways.values():
             while daemon._drains.view is None or (
                 daemon._drains.view.data_halls != wanted
@@ -79,16 +79,16 @@
         for _ in range(LATER_REQUESTS):
             replies.append(await world.call("once", number=number))
             replies.append(await world.call("stream", size="100,8", number=number))
-    halls = {e.data_hall for e in world.endpoints if e.arrivals}
-    return replies, halls
+    data_halls = {e.data_hall for e in world.endpoints if e.arrivals}
+    return replies, data_halls
 
 
-def play(context, happen):
+def play_requests(context, event):
     """Run `happen`, then send requests to each gateway."""
 
     async def script(world):
-        await happen(world)
-        context.replies, context.halls = await send_all(world)
+        await event(world)
+        context.replies, context.data_halls = await send_all(world)
 
     context.ingress.run(script)
 
@@ -99,16 +99,16 @@
     await wait_drained(world, "ikeja")
 
 
-async def take_back(world):
+async def undrain(world):
     """Drain and undrain ikeja, and wait until all gateways know of it."""
     await drain_known(world)
-    world.store.remove(KIND, "ikeja")
+    world.store.remove(DRAIN_KIND, "ikeja")
     await wait_drained(world)
 
 
 @when("ikeja is drained at any time")
 def drain_any_time(context):
-    play(context, drain_known)
+    play_requests(context, drain_known)
 
 
 @when("ikeja is drained before the gateways start")
@@ -118,31 +118,31 @@
     async def nothing(world):
         pass
 
-    play(context, nothing)
+    play_requests(context, nothing)
 
 
 @when("ikeja is drained while the store is {fault} for the second")
-def drain_cut(context, fault):
-    async def happen(world):
+def drain_during_fault(context, fault):
+    async def event(world):
         await wait_for_peers(world)
         await cut_second_from_store(world, StoreFault(fault))
         await drain_known(world)
 
-    play(context, happen)
+    play_requests(context, event)
 
 
 @when("ikeja is drained again after it was undrained")
 def drain_again(context):
-    async def happen(world):
-        await take_back(world)
+    async def event(world):
+        await undrain(world)
         await drain_known(world)
 
-    play(context, happen)
+    play_requests(context, event)
 
 
 @when("ikeja is drained while watches get nothing and history is dropped")
 def drain_in_gap(context):
-    async def happen(world):
+    async def event(world):
         world.store.is_deaf = True
         drain(world, "ikeja")
         await trio.sleep(0.3)
@@ -151,34 +151,34 @@
         world.store.is_deaf = False
         await wait_drained(world, "ikeja")
 
-    play(context, happen)
+    play_requests(context, event)
 
 
 @when("ikeja is drained, the store fails and a third gateway starts")
 def drain_then_start(context):
-    async def happen(world):
+    async def event(world):
         await wait_for_peers(world)
         await drain_known(world)
         world.store.fault = StoreFault.RESET
         world.store.cut_watches()
         await world.start_gateway(2)
 
-    play(context, happen)
+    play_requests(context, event)
 
 
 @then("no later request reaches ikeja, and none fails")
 def check_drained(context):
     assert {reply.status for reply in context.replies} == {200}
-    assert context.halls == {"lekki"}
+    assert context.data_halls == {"lekki"}
 
 
 @when("ikeja is drained and undrained")
-def drain_and_take_back(context):
-    play(context, take_back)
+def drain_and_undrain(context):
+    play_requests(context, undrain)
 
 
 @then("both gateways send requests to ikeja again")
-def check_taken_back(context):
+def check_undrained(context):
     assert {reply.status for reply in context.replies} == {200}
     # Both gateways are in ikeja and prefer it. Half of the requests could come from
     # one gateway alone.
@@ -193,7 +193,7 @@
         drain(world, "lekki")
         await wait_drained(world, "ikeja", "lekki")
         started = trio.current_time()
-        context.replies, context.halls = await send_all(world)
+        context.replies, context.data_halls = await send_all(world)
         context.seconds = (trio.current_time() - started) / len(context.replies)
 
     context.ingress.run(script)
@@ -203,7 +203,7 @@
 def check_refused(context):
     assert {reply.status for reply in context.replies} == {503}
     assert all(float(r.headers["retry-after"]) > 0 for r in context.replies)
-    assert not context.halls
+    assert not context.data_halls
     assert context.seconds < 0.2, context.seconds
 
 
@@ -240,8 +240,8 @@
             nursery.start_soon(context.reading.read)
             await context.reading.wait_for_events(100)
             source = context.reading.running_endpoint()
-            held = set(world.memory.copies.values())
-            backup = next(e for e in world.endpoints if e.address in held)
+            copy_addresses = set(world.memory.copies.values())
+            backup = next(e for e in world.endpoints if e.address in copy_addresses)
             drain(world, backup.data_hall)
             await wait_drained(world, backup.data_hall)
             backup.arrivals.clear()
@@ -277,12 +277,12 @@
 def check_views(context):
     @checked(VIEWS)
     def check(drawn):
-        told = []
+        changes = []
         follower = DrainFollower(
             GatewayState("ikeja", None, None, None, None),
             _NoFeed(),
             4.0,
-            lambda view, before, source: told.append(view.data_halls),
+            lambda view, before, source: changes.append(view.data_halls),
         )
         highest = None
         for revision, data_halls in drawn:
@@ -292,7 +292,7 @@
             if highest is None or revision > highest.revision:
                 highest = view
             assert follower.view == highest
-        assert all(now != then for then, now in pairwise(told))
+        assert all(now != then for then, now in pairwise(changes))
 
 
 def _report_with(view):
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -19,9 +19,9 @@
 
 SEEDS = range(4)
 CALLS = 20
-PROMISED_SECONDS = 2.0
+PROPAGATION_SECONDS = 2.0
 """After this time no gateway sends new work to an endpoint that announced to leave."""
-LEAVES = "server-leaving"
+LEAVING_HEADER = "server-leaving"
 IDLE_SECONDS = 1.0
 SETTLE_SECONDS = 3.0
 """Timeout of waits for conditions that usually take some ms."""
@@ -34,7 +34,7 @@
     context.sizes = {"gateways": gateways, "endpoints": endpoints}
 
 
-def play(context, **settings):
+def play_runs(context, **settings):
     context.runs = [
         CallRun(CallSettings(**context.sizes, **settings), seed) for seed in SEEDS
     ]
@@ -44,21 +44,21 @@
 
 @when("for 9 seconds one announces in its answers that it leaves")
 def play_leaving(context):
-    play(context, leaves=True)
+    play_runs(context, leaves=True)
 
 
 @then(
     "no call that came {seconds:g} s after such an answer is sent there by the same"
     " gateway"
 )
-def check_late(context, seconds):
+def check_late_calls(context, seconds):
     late = [len(list(run.late_arrivals(seconds))) for run in context.runs]
     assert not any(late), late
 
 
-async def told(world, number):
+async def call_until_leaving(world, number):
     """Send calls until an answer announces that its endpoint leaves."""
-    while LEAVES not in (await world.call("once", number=number)).headers:
+    while LEAVING_HEADER not in (await world.call("once", number=number)).headers:
         pass
 
 
@@ -71,14 +71,14 @@
 
 
 @when("an endpoint of the desk announces in its answers that it leaves")
-def tell_leaving(context):
+def announce_leaving(context):
     async def script(world):
         await wait_for_peers(world)
         endpoint = world.endpoints[0]
         endpoint.tells_leaving = True
-        await told(world, 0)
+        await call_until_leaving(world, 0)
         context.reached = [await calls_reaching(world, endpoint, 0)]
-        await trio.sleep(PROMISED_SECONDS)
+        await trio.sleep(PROPAGATION_SECONDS)
         context.reached.append(await calls_reaching(world, endpoint, 1))
 
     context.ingress.run(script)
@@ -137,7 +137,7 @@
     return engine
 
 
-WAYS = {
+ANNOUNCEMENTS = {
     "a call's success": lambda world: by_call(world, ""),
     "a call's failure": lambda world: by_call(world, "fails"),
     "a call's refusal, not run": lambda world: by_call(world, "not run"),
@@ -154,9 +154,9 @@
 
 
 @when("an endpoint announces that it leaves in {answer}")
-def tell_in(context, answer):
+def announce_in(context, answer):
     async def script(world):
-        endpoint = await WAYS[answer](world)
+        endpoint = await ANNOUNCEMENTS[answer](world)
         context.is_leaving = state_of(world).directory.is_leaving(endpoint.identity)
 
     context.ingress.run(script)
@@ -167,7 +167,7 @@
     assert context.is_leaving
 
 
-async def write_again(world, standin):
+async def rewrite_entry(world, standin):
     other = replace(known_endpoint(world, standin), data_hall="lekki")
     standin.data_hall = other.data_hall
     world.list_endpoint(standin)
@@ -177,21 +177,21 @@
     assert known_endpoint(world, standin).data_hall == other.data_hall
 
 
-async def read_again(world, standin):
+async def reread_list(world, standin):
     follower = world.gateways[0][1]._endpoints
     follower.restart()
     await wait_until(lambda: follower._revision is not None)
     assert follower._revision is not None
 
 
-async def peer_says_ready(world, standin):
+async def receive_ready_from_peer(world, standin):
     directory = state_of(world).directory
     listed = [replace(e, stage=EndpointStage.READY) for e in directory]
     follower = world.gateways[0][1]._endpoints
     follower.apply_from_peer(listed, directory.revision + 1)
 
 
-async def lapse(world, standin):
+async def remove_and_add_entry(world, standin):
     world.store.remove("servers", standin.identity)
     await wait_until(lambda: known_endpoint(world, standin) is None)
     world.list_endpoint(standin)
@@ -199,19 +199,19 @@
     assert known_endpoint(world, standin) is not None
 
 
-NEWS = {
-    "its entry is written again as ready": write_again,
-    "the store's list is read again": read_again,
-    "a peer's list has it as ready": peer_says_ready,
-    "its entry is removed and added again": lapse,
+LATER_UPDATES = {
+    "its entry is written again as ready": rewrite_entry,
+    "the store's list is read again": reread_list,
+    "a peer's list has it as ready": receive_ready_from_peer,
+    "its entry is removed and added again": remove_and_add_entry,
 }
 
 
-@when("an endpoint has announced that it leaves, and then {news}")
-def tell_then(context, news):
+@when("an endpoint has announced that it leaves, and then {update}")
+def announce_then(context, update):
     async def script(world):
         endpoint = await by_call(world, "")
-        await NEWS[news](world, endpoint)
+        await LATER_UPDATES[update](world, endpoint)
         context.is_leaving = state_of(world).directory.is_leaving(endpoint.identity)
 
     context.ingress.run(script)
@@ -230,19 +230,19 @@
         directory.remove(other.identity, trio.current_time(), after_outage=False)
         await world.call("once")
         directory.put(replace(stale, name=other.identity))
-        context.is_blamed = directory.is_leaving(other.identity)
+        context.is_marked = directory.is_leaving(other.identity)
         assert directory.is_leaving("i-before")
 
     context.ingress.run(script)
 
 
 @then("the gateway still has that other endpoint as ready")
-def check_unblamed(context):
-    assert not context.is_blamed
+def check_other_ready(context):
+    assert not context.is_marked
 
 
 @when("its engine announces that it leaves in the answer to a probe")
-def tell_beside_stream(context):
+def announce_during_stream(context):
     async def script(world):
         context.reading = StreamReading(world, LONG_EVENTS, SMALL_SIZE)
         async with trio.open_nursery() as nursery:
@@ -265,7 +265,7 @@
 
 
 @when("an engine's stream falls silent, and its report says that it leaves")
-def tell_in_silence(context):
+def report_during_silence(context):
     async def script(world):
         reading = StreamReading(world, LONG_EVENTS, SMALL_SIZE)
         async with trio.open_nursery() as nursery:
@@ -283,7 +283,7 @@
 
 
 @when("all endpoints of the desk have announced that they leave")
-def tell_all(context):
+def announce_all(context):
     async def script(world):
         for endpoint in world.endpoints[:3]:
             endpoint.tells_leaving = True
@@ -305,7 +305,7 @@
 
 
 @then("an endpoint that a peer reported as leaving is so from its first entry on")
-def check_told_early(context):
+def check_early_report(context):
     directory = EndpointDirectory()
     endpoint = next(iter(fleet_of(1)))
     assert directory.mark_leaving(endpoint.identity) == []
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -31,14 +31,14 @@
 
 CONTENT = "c0ffee"
 ENGINES = ("e-1", "e-2", "e-3", "e-4")
-NOTES = st.recursive(
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(),
     lambda inner: st.lists(inner, max_size=5),
 )
 
 
 @then("a request that had just begun there is suspected, and a long one isn't")
-def check_fresh(context):
+def check_suspects(context):
     runs = EndpointRuns()
     new = runs.begin("e-1", "r-new", "new")
     long = runs.begin("e-1", "r-long", "long")
@@ -54,36 +54,36 @@
     assert list(runs.suspects("e-1", 3.5)) == [waiting]
 
 
-@then("after reports of {news} all gateways that receive everything agree")
-def check_order(context, news):
+@then("after reports of {kinds} all gateways that receive everything agree")
+def check_order(context, kinds):
     @checked(st.integers(0, 10_000))
     def check(seed):
         random = Random(seed)
         gateways = [Quarantine() for _ in range(3)]
-        notes = []
+        reports = []
         for engine in ENGINES[: random.randint(2, 4)]:
-            seer = random.choice(gateways)
-            seer.record_crash(CONTENT, engine, 1.0)
-            notes.append(seer.report(CONTENT))
-            if "excuses" in news and random.random() < 0.4:
-                teller = random.choice(gateways)
-                if teller.record_completion(CONTENT, 1.5):
-                    notes.append(teller.report(CONTENT))
-        told = [random.sample(notes * 2, len(notes) * 2) for _ in gateways]
-        for gateway, heard in zip(gateways, told, strict=True):
-            for note in heard:
-                gateway.apply_report(decode_reports(encode_reports([note]))[0], 2.0)
+            observer = random.choice(gateways)
+            observer.record_crash(CONTENT, engine, 1.0)
+            reports.append(observer.report(CONTENT))
+            if "excuses" in kinds and random.random() < 0.4:
+                reporter = random.choice(gateways)
+                if reporter.record_completion(CONTENT, 1.5):
+                    reports.append(reporter.report(CONTENT))
+        deliveries = [random.sample(reports * 2, len(reports) * 2) for _ in gateways]
+        for gateway, received in zip(gateways, deliveries, strict=True):
+            for report in received:
+                gateway.apply_report(decode_reports(encode_reports([report]))[0], 2.0)
         # Each gateway reports once more, after it has merged all reports.
         last = [gateway.report(CONTENT) for gateway in gateways]
         for gateway in gateways:
-            for note in last:
-                gateway.apply_report(note, 2.5)
+            for report in last:
+                gateway.apply_report(report, 2.5)
         assert len({gateway.report(CONTENT) for gateway in gateways}) == 1
         assert len({gateway.is_quarantined(CONTENT) for gateway in gateways}) == 1
 
 
 @then("no request is quarantined when a data hall crashes and its callers retry")
-def check_hall(context):
+def check_data_hall(context):
     _play_crashes(crashing=ENGINES[:2], rounds=1)
 
 
@@ -110,9 +110,9 @@
         for content in at.keys() - set(lost):
             runs.end(f"{at[content]}@{number}", open_runs[content])
             quarantine.record_completion(content, now)
-        again = [c for c in lost if quarantine.seconds_until_release(c, now) is None]
-        assert again == lost
-        for content in again:
+        retried = [c for c in lost if quarantine.seconds_until_release(c, now) is None]
+        assert retried == lost
+        for content in retried:
             quarantine.record_completion(content, now + 1.0)
     assert not len(quarantine)
 
@@ -134,20 +134,20 @@
     "a request that completed in the last {seconds:g} s is not quarantined by any"
     " gateway"
 )
-def check_sound(context, seconds):
-    knows, new = Quarantine(), Quarantine()
-    knows.record_completion(CONTENT, 0.0)
+def check_completed(context, seconds):
+    informed, uninformed = Quarantine(), Quarantine()
+    informed.record_completion(CONTENT, 0.0)
     for engine in ENGINES[:CRASHES_BEFORE_QUARANTINE]:
-        assert knows.record_crash(CONTENT, engine, 1.0) == 0
-        new.record_crash(CONTENT, engine, 1.0)
-    assert not knows.is_quarantined(CONTENT)
-    assert new.is_quarantined(CONTENT)
-    new.apply_report(knows.report(CONTENT), 1.1)
-    assert not new.is_quarantined(CONTENT)
+        assert informed.record_crash(CONTENT, engine, 1.0) == 0
+        uninformed.record_crash(CONTENT, engine, 1.0)
+    assert not informed.is_quarantined(CONTENT)
+    assert uninformed.is_quarantined(CONTENT)
+    uninformed.apply_report(informed.report(CONTENT), 1.1)
+    assert not uninformed.is_quarantined(CONTENT)
     late = seconds + 1.0
-    assert knows.record_crash(CONTENT, "e-8", late) == 1
-    assert knows.record_crash(CONTENT, "e-9", late) == 2
-    assert knows.is_quarantined(CONTENT)
+    assert informed.record_crash(CONTENT, "e-8", late) == 1
+    assert informed.record_crash(CONTENT, "e-9", late) == 2
+    assert informed.is_quarantined(CONTENT)
 
 
 @then(
@@ -178,27 +178,27 @@
 
 
 @then(
-    "of {suspected:d} suspected requests {most:d} are remembered, and those in quarantine"
+    "of {suspected:d} suspected requests {maximum:d} are remembered, and those in quarantine"
 )
-def check_flood(context, suspected, most):
-    assert most == MAX_RECORDS
+def check_flood(context, suspected, maximum):
+    assert maximum == MAX_RECORDS
     quarantine = Quarantine()
     for engine in ENGINES[:CRASHES_BEFORE_QUARANTINE]:
         quarantine.record_crash(CONTENT, engine, 0.0)
     for number in range(suspected):
         quarantine.record_crash(f"flood-{number}", "e-1", 1.0)
     assert quarantine.is_quarantined(CONTENT)
-    assert len(quarantine._records) == most
+    assert len(quarantine._records) == maximum
     assert quarantine.report(f"flood-{suspected - 1}") is not None
     assert quarantine.report("flood-0") is None
 
 
 @then("crash reports are decoded or refused with their code")
-def check_notes(context):
+def check_reports(context):
     check_coded_errors(lambda data: decode_reports(PREFIX + data), st.binary())
-    check_coded_errors(_decode, st.lists(st.lists(NOTES, max_size=5), max_size=3))
-    note = CrashReport(CONTENT, frozenset(ENGINES), frozenset(ENGINES[:1]), 2)
-    assert decode_reports(encode_reports([note])) == (note,)
+    check_coded_errors(_decode, st.lists(st.lists(JSON_VALUES, max_size=5), max_size=3))
+    report = CrashReport(CONTENT, frozenset(ENGINES), frozenset(ENGINES[:1]), 2)
+    assert decode_reports(encode_reports([report])) == (report,)
 
 
 def _decode(fields):
@@ -255,8 +255,8 @@
         self._links = [_Link(name, frames, self.sent) for name in names]
 
     def choose(self, service, prompt, excluded):
-        left = (link for link in self._links if link.state.name not in excluded)
-        return next(left, None)
+        remaining = (link for link in self._links if link.state.name not in excluded)
+        return next(remaining, None)
 
 
 class _ManyRetries:
@@ -314,8 +314,8 @@
     assert 0 < context.errors[1].retry_after <= PROBE_DELAYS_SECONDS[0]
 
 
-@then("{most:d} retries were spent at most, and the caller is told {code}")
-def check_spent(context, most, code):
-    assert context.retries.spent <= most, context.retries.spent
+@then("{maximum:d} retries were spent at most, and the caller is told {code}")
+def check_spent(context, maximum, code):
+    assert context.retries.spent <= maximum, context.retries.spent
     assert context.errors[0].code == code
     assert context.errors[0].outcome is Outcome.NOT_RUN
--- a/features/steps/rate_limit_steps.py
+++ b/features/steps/rate_limit_steps.py
@@ -67,27 +67,29 @@
 
 
 @when("an endpoint of the desk advertises {rate:g} requests a second while calls come")
-def name_rate(context, rate):
+def advertise_rate(context, rate):
     async def script(world):
         await wait_for_peers(world)
         endpoint = world.endpoints[0]
         endpoint.rate_limit = f"{rate:g}"
         context.replies = []
-        begun = trio.current_time()
-        while trio.current_time() < begun + CALLS_SECONDS:
+        started = trio.current_time()
+        while trio.current_time() < started + CALLS_SECONDS:
             number = len(context.replies) % len(world.gateways)
             context.replies.append(await world.call("once", number=number))
             await trio.sleep(CALL_GAP_SECONDS)
         times = [arrival.at for arrival in endpoint.arrivals]
-        most = most_in_window(times, begun + CONTACT_SECONDS)
-        context.counted = [(most, allowed_requests(rate))]
+        maximum = most_in_window(times, started + CONTACT_SECONDS)
+        context.counted = [(maximum, allowed_requests(rate))]
 
     context.ingress.run(script)
 
 
 @then("gateways that know of the limit never send more than it allows")
 def check_rate(context):
-    assert all(most <= allowed for most, allowed in context.counted), context.counted
+    assert all(maximum <= allowed for maximum, allowed in context.counted), (
+        context.counted
+    )
 
 
 def limits_of(gateways):
@@ -122,12 +124,12 @@
             now += gap
             if views[number % gateways].claim(ENDPOINT, now):
                 sent.append(now)
-        most = most_in_window(sent, 0.0)
-        assert most <= WINDOW_SECONDS * rate, (most, rate)
+        maximum = most_in_window(sent, 0.0)
+        assert maximum <= WINDOW_SECONDS * rate, (maximum, rate)
 
 
 @then("each of them has a quota if there are enough requests")
-def check_parts(context):
+def check_quotas(context):
     @checked(st.floats(0.01, 500), st.integers(1, 500))
     def check(rate, gateways):
         quota = fleet_quota(rate, gateways)
@@ -174,7 +176,7 @@
 
 
 @when('an endpoint advertises 2 requests a second and then "{value}"')
-def name_unreadable(context, value):
+def advertise_invalid(context, value):
     async def script(world):
         endpoint = world.endpoints[0]
         identity = known_endpoint(world, endpoint).identity
@@ -218,9 +220,9 @@
 def check_foreign(context):
     dialect = PlatformDialect()
     assert dialect.read_notice(ResponseHead(200, ())) == NO_NOTICE
-    named = ((b"attempt-id", b"a"),)
-    assert dialect.read_notice(ResponseHead(200, named)) == UNRESTRICTED_NOTICE
-    assert dialect.read_notice(ResponseHead(421, named)) == NO_NOTICE
+    headers = ((b"attempt-id", b"a"),)
+    assert dialect.read_notice(ResponseHead(200, headers)) == UNRESTRICTED_NOTICE
+    assert dialect.read_notice(ResponseHead(421, headers)) == NO_NOTICE
 
 
 @then("a limit of one incarnation doesn't apply to the next one")
@@ -249,9 +251,9 @@
 
 @then("reports with rate limits are decoded, and invalid ones refused with their code")
 def check_reports(context):
-    named = {IDENTITY: RateReport(2.4, 0.25), "i-9": RateReport(UNLIMITED, 1.5)}
-    report = replace(plain_report(), rate_limits=named)
-    assert PeerReport.decode(report.encode()).rate_limits == named
+    rate_limits = {IDENTITY: RateReport(2.4, 0.25), "i-9": RateReport(UNLIMITED, 1.5)}
+    report = replace(plain_report(), rate_limits=rate_limits)
+    assert PeerReport.decode(report.encode()).rate_limits == rate_limits
     fields = orjson.loads(report.encode())
     for faulty in ([[1]], {IDENTITY: [1]}, {IDENTITY: [-1, 0]}, {IDENTITY: ["a", 0]}):
         fields[-1] = faulty
@@ -283,24 +285,24 @@
 
 
 @then("one gateway after the other probes whether the limit still applies")
-def check_asked(context):
+def check_probes(context):
     views = limits_of(4)
     for view in views:
         view.record_answer(IDENTITY, 0.2, 0.0)
-    asked = []
+    probes = []
     for tenth in range(200):
         now = tenth / 10
         for number, view in enumerate(views):
-            has_part = bool(view.quota(ENDPOINT).requests)
-            if not has_part and view.claim(ENDPOINT, now):
-                asked.append((number, now))
-    assert len(asked) == 3, "gateways without a quota must probe once each"
-    assert len({at for _, at in asked}) == 3, "gateways probe at the same time"
-    assert min(at for _, at in asked) >= PROBE_AFTER_SECONDS
+            has_quota = bool(view.quota(ENDPOINT).requests)
+            if not has_quota and view.claim(ENDPOINT, now):
+                probes.append((number, now))
+    assert len(probes) == 3, "gateways without a quota must probe once each"
+    assert len({at for _, at in probes}) == 3, "gateways probe at the same time"
+    assert min(at for _, at in probes) >= PROBE_AFTER_SECONDS
 
 
 @then("it gets one each 10 s from all gateways together")
-def check_none_taken(context):
+def check_zero_rate(context):
     views = limits_of(6)
     for view in views:
         view.record_answer(IDENTITY, 0.0, 0.0)
@@ -345,7 +347,7 @@
 @when(
     "all endpoints of the desk advertise a rate of 0, and a call comes to each gateway"
 )
-def take_nothing(context):
+def advertise_zero(context):
     async def script(world):
         await wait_for_peers(world)
         for number in world.gateways:
@@ -361,7 +363,7 @@
 
 
 @then("each is refused with {code}, to retry within {seconds:g} s")
-def check_come_back(context, code, seconds):
+def check_retry_after(context, code, seconds):
     for reply in context.replies:
         assert reply.status == 503, vars(reply)
         assert f'"{code}"'.encode() in reply.body, reply.body
@@ -385,10 +387,10 @@
 
 @when("an endpoint's rate limit is reached while a call to it connects")
 def limit_while_connecting(context):
-    call_while(context, use_up)
+    call_while(context, use_up_quota)
 
 
-def use_up(state, endpoint):
+def use_up_quota(state, endpoint):
     """Use up a gateway's quota at an endpoint that advertises a rate limit."""
     now = trio.current_time()
     state.limits.record_answer(endpoint.identity, 0.5, now)
@@ -399,7 +401,7 @@
 @when("the engine of a large stream crashes while its backup's rate limit is reached")
 def crash_before_limited(context):
     def prepare(world, backup):
-        use_up(state_of(world), known_endpoint(world, backup))
+        use_up_quota(state_of(world), known_endpoint(world, backup))
 
     crash_under_stream(context, prepare)
 
@@ -428,7 +430,7 @@
 
 
 @when("an endpoint's rate limit is reached, and then a call is served")
-def serve_beside(context):
+def serve_at_limit(context):
     output, context.log = tempfile.mkstemp()
     context.ingress.log_output = output
 
@@ -438,7 +440,7 @@
         endpoint.rate_limit = "0.5"
         while not state.limits.is_limited(known_endpoint(world, endpoint).identity):
             await world.call("once")
-        use_up(state, known_endpoint(world, endpoint))
+        use_up_quota(state, known_endpoint(world, endpoint))
         await world.call("once", request="abc")
         world.gateways[0][1]._log.flush()
 
