--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -20,7 +20,7 @@
 SEEDS = range(4)
 CALLS = 20
 PROPAGATION_SECONDS = 2.0
-"""After this time no gateway sends new work to an endpoint that announced to leave."""
+"""No gateway sends new work to a leaving endpoint after this time."""
 LEAVING_HEADER = "server-leaving"
 IDLE_SECONDS = 1.0
 SETTLE_SECONDS = 3.0
--- a/src/piershore/core/attempts/retry_budget.py
+++ b/src/piershore/core/attempts/retry_budget.py
@@ -29,7 +29,7 @@
         self._retries: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
-        """Count the first attempt of a request."""
+        """Record the first attempt of a request."""
         self._requests.append(now)
         self._drop_expired(now)
 
--- a/src/piershore/core/fleet/cold_starts.py
+++ b/src/piershore/core/fleet/cold_starts.py
@@ -40,7 +40,7 @@
         self._sent = SentRequests()
 
     def record_entry(self, endpoint: Endpoint, now: float) -> None:
-        """Record whether an endpoint is cold, as its own entry says."""
+        """Record that an endpoint is cold, if its entry says so."""
         if endpoint.cold_seconds > 0:
             self._own_until[endpoint.identity] = now + endpoint.cold_seconds
             self._mark_cold(endpoint.identity, endpoint.cold_seconds, now)
@@ -60,7 +60,7 @@
             self._mark_cold(identity, seconds, now)
 
     def report(self, now: float) -> dict[str, float]:
-        """Return the seconds until endpoints are warm whose entries this gateway read.
+        """Return the seconds until each endpoint is warm whose entry this gateway read.
 
         Reports of peers aren't passed on: the time would grow a little with each hop.
         """
@@ -85,7 +85,7 @@
         return recent < self._quota(endpoint, spec)
 
     def record_sent(self, endpoint: Endpoint, now: float) -> None:
-        """Count a request to an endpoint if that is cold."""
+        """Count a request if its endpoint is cold."""
         if self.is_cold(endpoint.identity, now):
             self._sent.record(endpoint.identity, now, COUNTED_SECONDS)
 
--- a/src/piershore/core/fleet/endpoint_directory.py
+++ b/src/piershore/core/fleet/endpoint_directory.py
@@ -11,16 +11,16 @@
 from piershore.core.hashing import stable_hash
 
 EXPIRY_GRACE_SECONDS = 1.7
-"""How long an entry is kept that may only have expired during an outage of the store.
+"""Grace period for entries that may only have expired during an outage of the store.
 Such an entry is back some 2 s after the outage. An endpoint that was really removed
 must get no new work 2 s after its removal, and the directory is swept four times a
 second."""
 
 DEFERRAL_SECONDS = 5.0
-"""How long a removed entry is deferred that appears again since the store was restored
-from an older copy. Unless the endpoint writes it again, the entry expires after three
-of its heartbeats, 3.6 s. The endpoint may still be serving, but must get no new work
-until then."""
+"""How long a removed entry is deferred when it appears again because the store was
+restored from an older copy. Unless the endpoint writes it again, the entry expires
+after three of its heartbeats, 3.6 s. The endpoint may still be serving, but must get no
+new work until then."""
 
 MAX_REMEMBERED_IDENTITIES = 512
 """How many identities are remembered as leaving, which are never used again, how many
@@ -252,7 +252,7 @@
                 self._deferred[identity] = now + DEFERRAL_SECONDS
 
     def _was_leaving(self, identity: str) -> bool:
-        """Return whether an incarnation was ever known to leave."""
+        """Return whether an incarnation was ever known to be leaving."""
         known = self._endpoints.get(identity)
         is_known_leaving = known is not None and known.stage is EndpointStage.LEAVING
         return is_known_leaving or identity in self._leaving
--- a/src/piershore/core/fleet/endpoint_rate_limits.py
+++ b/src/piershore/core/fleet/endpoint_rate_limits.py
@@ -7,7 +7,7 @@
 to get one if the rate allows that.
 
 The latest answer of an endpoint counts, whichever gateway received it. Gateways report
-to each other the rates in their own answers, with their age.
+to each other the rates in the answers that they received, with their age.
 """
 
 from __future__ import annotations
@@ -134,7 +134,7 @@
                 yield identity
 
     def report(self, now: float) -> dict[str, RateReport]:
-        """Return the rates in this gateway's own recent answers.
+        """Return the rates in the answers that this gateway received recently.
 
         Rates that peers reported aren't passed on: they would look newer each time.
         """
@@ -151,13 +151,14 @@
         return not self.seconds_until_free(endpoint, now)
 
     def exhausted(self, endpoints: Iterable[Endpoint], now: float) -> Iterator[str]:
-        """Yield the endpoints whose quota of this gateway is used up for now."""
+        """Yield the endpoints at which this gateway's quota is used up for now."""
         if self._latest:
             yield from (e.identity for e in endpoints if not self.may_send(e, now))
 
     def claim(self, endpoint: Endpoint, now: float) -> bool:
-        """Count a request to a rate-limited endpoint; return False if it has no limit
-        or the request may not be sent.
+        """Count a request to a rate-limited endpoint if it may be sent.
+
+        Return whether it was counted, which it isn't if the endpoint has no limit.
         """
         if not self.is_limited(endpoint.identity):
             return False
@@ -189,9 +190,7 @@
         return max(0.0, sent_at + quota.window + TRANSIT_JITTER_SECONDS - now)
 
     def gateway_rate(self, endpoint: Endpoint) -> float:
-        """Return the mean rate that a limit leaves to one gateway, in requests a
-        second.
-        """
+        """Return the mean rate of one gateway under a limit, in requests a second."""
         share = self._shares.of(endpoint)
         gateways = share.gateways if share else len(self._shares)
         return max(self.rate(endpoint.identity), MIN_REQUESTS_PER_SECOND) / gateways
--- a/src/piershore/core/fleet/evacuation_plan.py
+++ b/src/piershore/core/fleet/evacuation_plan.py
@@ -23,7 +23,7 @@
 """Time for the first copies of all streams: the shortest notice observed is 1.5 s, and
 stopping a stream and continuing it elsewhere takes 0.1 to 0.2 s."""
 REMOTE_PENALTY_TOKENS = (0, 4_000, 8_000, 16_000, 64_000)
-"""By how many tokens a target in another data hall must be emptier to be preferred.
+"""How many tokens emptier a target in another data hall must be to be preferred.
 The values are tried in turn: the first spreads the load evenly, the last keeps copies
 shortest."""
 MAX_TARGETS = 48
--- a/src/piershore/core/quarantine/crash_report.py
+++ b/src/piershore/core/quarantine/crash_report.py
@@ -22,7 +22,7 @@
 class CrashReport:
     """The endpoints that crashed while they ran a request.
 
-    `content` is the request's digest. `excused` are the crashes that the request did
+    `content` is the request's digest. `cleared` are the crashes that the request did
     not cause, since it has completed elsewhere; `probes` is how often it was released
     from quarantine as a probe. Sets and count only grow, so reports may be lost,
     repeated or reordered.
--- a/src/piershore/core/quarantine/endpoint_runs.py
+++ b/src/piershore/core/quarantine/endpoint_runs.py
@@ -19,9 +19,9 @@
 class EndpointRun:
     """One attempt at an endpoint.
 
-    `content` is the digest of the request, the same for all its attempts. `first_at` is
-    when the first chunk of the answer came, `ended_at` when the gateway stopped waiting
-    for more.
+    `content` is the digest of the request, the same for all its attempts.
+    `first_chunk_at` is when the first chunk of the answer came, `ended_at` when the
+    gateway stopped waiting for more.
     """
 
     request: str
@@ -36,7 +36,8 @@
     def is_suspect(self, now: float) -> bool:
         """Return whether the run may have caused a crash of its endpoint now.
 
-        It may if its first chunk came a short time ago, or before the run ended.
+        It may if its first chunk came within `SUSPECT_WINDOW_SECONDS` before, or before
+        the run ended, or has not come yet.
         """
         return min(now, self.ended_at) - self.first_chunk_at <= SUSPECT_WINDOW_SECONDS
 
--- a/src/piershore/core/quarantine/quarantine.py
+++ b/src/piershore/core/quarantine/quarantine.py
@@ -91,7 +91,7 @@
 
 
 class Quarantine:
-    """Suspected and quarantined requests by their digest, and their crashes."""
+    """Suspected and quarantined requests by their digest, `content`."""
 
     def __init__(self, crash_threshold: int = CRASHES_BEFORE_QUARANTINE) -> None:
         self._crash_threshold = crash_threshold
