--- a/features/steps/drained_hall_steps.py
+++ b/features/steps/drained_hall_steps.py
@@ -84,7 +84,7 @@
 
 
 def play_requests(context, event):
-    """Run `happen`, then send requests to each gateway."""
+    """Run `event`, then send requests to each gateway."""
 
     async def script(world):
         await event(world)
@@ -93,22 +93,22 @@
     context.ingress.run(script)
 
 
-async def drain_known(world):
+async def drain_ikeja(world):
     """Drain ikeja, and wait until all gateways know of it."""
     drain(world, "ikeja")
     await wait_drained(world, "ikeja")
 
 
-async def undrain(world):
+async def drain_and_undrain_ikeja(world):
     """Drain and undrain ikeja, and wait until all gateways know of it."""
-    await drain_known(world)
+    await drain_ikeja(world)
     world.store.remove(DRAIN_KIND, "ikeja")
     await wait_drained(world)
 
 
 @when("ikeja is drained at any time")
 def drain_any_time(context):
-    play_requests(context, drain_known)
+    play_requests(context, drain_ikeja)
 
 
 @when("ikeja is drained before the gateways start")
@@ -126,7 +126,7 @@
     async def event(world):
         await wait_for_peers(world)
         await cut_second_from_store(world, StoreFault(fault))
-        await drain_known(world)
+        await drain_ikeja(world)
 
     play_requests(context, event)
 
@@ -134,8 +134,8 @@
 @when("ikeja is drained again after it was undrained")
 def drain_again(context):
     async def event(world):
-        await undrain(world)
-        await drain_known(world)
+        await drain_and_undrain_ikeja(world)
+        await drain_ikeja(world)
 
     play_requests(context, event)
 
@@ -158,7 +158,7 @@
 def drain_then_start(context):
     async def event(world):
         await wait_for_peers(world)
-        await drain_known(world)
+        await drain_ikeja(world)
         world.store.fault = StoreFault.RESET
         world.store.cut_watches()
         await world.start_gateway(2)
@@ -174,7 +174,7 @@
 
 @when("ikeja is drained and undrained")
 def drain_and_undrain(context):
-    play_requests(context, undrain)
+    play_requests(context, drain_and_undrain_ikeja)
 
 
 @then("both gateways send requests to ikeja again")
