--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -355,10 +355,10 @@
         "ingress_store",
     ),
     Mutant(
-        "starts aren't told to those who share an endpoint",
+        "load updates aren't sent to the gateways that share an endpoint",
         "core/fleet/subsetting.py",
-        "        place = self._places.get(endpoint.identity)\n",
-        "        place = None\n",
+        "        position = self._positions.get(endpoint.identity)\n",
+        "        position = None\n",
         "large_fleet",
     ),
     Mutant(
@@ -369,16 +369,16 @@
         "large_fleet",
     ),
     Mutant(
-        "a full subset is all there is",
+        "a generation isn't placed outside a full subset",
         "core/fleet/placement.py",
         "if self._uses_subsets and not anywhere:",
         "if self._uses_subsets:",
         "large_fleet",
     ),
     Mutant(
-        "late notes of load count",
+        "outdated load updates count",
         "core/fleet/peer_table.py",
-        "last.incarnation == note.incarnation and last.number < note.number",
+        "last.incarnation == update.incarnation and last.number < update.number",
         "True",
         "large_fleet",
     ),
--- a/src/piershore/core/admission/admission_policy.py
+++ b/src/piershore/core/admission/admission_policy.py
@@ -17,7 +17,7 @@
         self._settings = settings
         self._model = model
 
-    def begin(self, running: Collection[RunningGeneration]) -> None:  # noqa: B027
+    def start_round(self, running: Collection[RunningGeneration]) -> None:  # noqa: B027
         """Prepare a round of calls to `admits` with the running generations."""
 
     @abstractmethod
@@ -26,7 +26,7 @@
     ) -> bool:
         """Return whether `candidate` fits beside `running`."""
 
-    def started(self, candidate: Candidate) -> None:  # noqa: B027
+    def record_start(self, candidate: Candidate) -> None:  # noqa: B027
         """Record that `candidate` was started in this round."""
 
     @property
--- a/src/piershore/core/admission/baseline_policies.py
+++ b/src/piershore/core/admission/baseline_policies.py
@@ -42,8 +42,10 @@
         self, candidate: Candidate, running: Collection[RunningGeneration]
     ) -> bool:
         """Return whether the longest answers of all generations would fit."""
-        reserved = sum(_longest(generation.candidate) for generation in running)
-        return reserved + _longest(candidate) <= self.capacity
+        reserved = sum(
+            _max_total_tokens(generation.candidate) for generation in running
+        )
+        return reserved + _max_total_tokens(candidate) <= self.capacity
 
 
 @admission_policy("known_lengths")
@@ -54,21 +56,24 @@
         self, candidate: Candidate, running: Collection[RunningGeneration]
     ) -> bool:
         """Return whether the actual peak stays within the capacity."""
-        sizes = [(_left(g.candidate, g.generated), g.held_tokens) for g in running]
-        sizes.append((_left(candidate, 0), candidate.prompt_tokens))
+        sizes = [
+            (_remaining_tokens(g.candidate, g.generated), g.held_tokens)
+            for g in running
+        ]
+        sizes.append((_remaining_tokens(candidate, 0), candidate.prompt_tokens))
         sizes.sort(reverse=True)
         held = 0
         peak = 0
-        for count, (left, tokens) in enumerate(sizes, start=1):
+        for count, (remaining, tokens) in enumerate(sizes, start=1):
             held += tokens
-            peak = max(peak, held + left * count)
+            peak = max(peak, held + remaining * count)
         return peak <= self.capacity
 
 
-def _longest(candidate: Candidate) -> int:
+def _max_total_tokens(candidate: Candidate) -> int:
     return candidate.prompt_tokens + candidate.max_tokens
 
 
-def _left(candidate: Candidate, generated: int) -> int:
+def _remaining_tokens(candidate: Candidate, generated: int) -> int:
     length = candidate.known_length or candidate.max_tokens
     return max(0, length - generated)
--- a/src/piershore/core/admission/engine_queue.py
+++ b/src/piershore/core/admission/engine_queue.py
@@ -44,7 +44,7 @@
         self._running: dict[str, RunningGeneration] = {}
         self._refused: list[Refuse] = []
         self._token_rate = 0.0
-        self._rate_at: float | None = None
+        self._rate_updated_at: float | None = None
 
     @property
     def running_count(self) -> int:
@@ -69,8 +69,8 @@
 
     def submit(self, candidate: Candidate, now: float) -> None:
         """Add a request to the queue, or refuse it."""
-        longest = candidate.prompt_tokens + 1
-        if longest > self._settings.capacity_tokens:
+        required = candidate.prompt_tokens + 1
+        if required > self._settings.capacity_tokens:
             self._refuse(candidate, RefusalReason.TOO_LONG_FOR_ENGINE, 0.0)
             return
         if len(self._queued) >= self._settings.queue_length:
@@ -95,15 +95,15 @@
 
     def record_tokens(self, tokens: int, now: float) -> None:
         """Record that the engine has generated `tokens` since the last call."""
-        if self._rate_at is None:
-            self._rate_at = now
+        if self._rate_updated_at is None:
+            self._rate_updated_at = now
             return
-        elapsed = now - self._rate_at
+        elapsed = now - self._rate_updated_at
         if elapsed <= 0:
             return
-        keep = max(0.0, 1 - elapsed / RATE_WINDOW_SECONDS)
-        self._token_rate = keep * self._token_rate + (1 - keep) * tokens / elapsed
-        self._rate_at = now
+        decay = max(0.0, 1 - elapsed / RATE_WINDOW_SECONDS)
+        self._token_rate = decay * self._token_rate + (1 - decay) * tokens / elapsed
+        self._rate_updated_at = now
 
     def finish(self, identity: str, *, is_complete: bool) -> None:
         """Remove a generation that ended; learn its length if it is complete."""
@@ -132,15 +132,15 @@
         `may_start` is called before each start; no more generations are started once it
         returns False.
         """
-        yield from self._take_refused()
-        yield from self._hopeless(now)
-        self._policy.begin(self._running.values())
-        while self._queue and self._has_room_in_batch() and may_start():
+        yield from self._pop_refused()
+        yield from self._refuse_unreachable(now)
+        self._policy.start_round(self._running.values())
+        while self._queue and self._has_batch_capacity() and may_start():
             candidate = self._queue[0][1]
             if not self._policy.admits(candidate, self._running.values()):
                 return
             self.withdraw(candidate.identity)
-            self._policy.started(candidate)
+            self._policy.record_start(candidate)
             self._running[candidate.identity] = RunningGeneration(candidate, now)
             yield Start(candidate)
 
@@ -151,36 +151,36 @@
         """
         if self._token_rate <= 0:
             return MIN_RETRY_SECONDS
-        ahead = sum(
+        tokens_ahead = sum(
             self._expected_tokens(entry[1])
             for entry in self._queue
             if entry[1].priority >= candidate.priority
         )
-        wait = ahead / self._token_rate
+        wait = tokens_ahead / self._token_rate
         return min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
 
-    def _hopeless(self, now: float) -> Iterator[Refuse]:
-        ahead = 0.0
+    def _refuse_unreachable(self, now: float) -> Iterator[Refuse]:
+        tokens_ahead = 0.0
         for _, candidate in list(self._queue):
-            wait = ahead / self._token_rate if self._token_rate > 0 else 0.0
+            wait = tokens_ahead / self._token_rate if self._token_rate > 0 else 0.0
             if candidate.deadline is not None and now + wait > candidate.deadline:
                 self.withdraw(candidate.identity)
-                passed = now > candidate.deadline
+                has_passed = now > candidate.deadline
                 reason = (
                     RefusalReason.DEADLINE_PASSED
-                    if passed
+                    if has_passed
                     else RefusalReason.DEADLINE_UNREACHABLE
                 )
                 yield Refuse(candidate, reason, max(MIN_RETRY_SECONDS, wait))
                 continue
-            ahead += self._expected_tokens(candidate)
+            tokens_ahead += self._expected_tokens(candidate)
 
     def _expected_tokens(self, candidate: Candidate) -> float:
         return self._lengths.expected_remaining(
             candidate.length_key, 0, candidate.max_tokens
         )
 
-    def _has_room_in_batch(self) -> bool:
+    def _has_batch_capacity(self) -> bool:
         if self._settings.token_pace is None:
             return True
         cap = self._pace.batch_cap(self._settings.token_pace)
@@ -191,6 +191,6 @@
     ) -> None:
         self._refused.append(Refuse(candidate, reason, retry_after))
 
-    def _take_refused(self) -> Iterator[Refuse]:
+    def _pop_refused(self) -> Iterator[Refuse]:
         while self._refused:
             yield self._refused.pop(0)
--- a/src/piershore/core/admission/length_histogram.py
+++ b/src/piershore/core/admission/length_histogram.py
@@ -53,13 +53,13 @@
     def survival(self, length: int) -> float:
         """Return the share of samples that are longer than `length`."""
         self._rebuild_if_stale()
-        place = bisect_right(self._lengths, length)
-        at_most = self._cumulative[place - 1] if place else 0
-        return 1 - at_most / self._cumulative[-1]
+        index = bisect_right(self._lengths, length)
+        count_at_most = self._cumulative[index - 1] if index else 0
+        return 1 - count_at_most / self._cumulative[-1]
 
     def _rebuild_if_stale(self) -> None:
-        grown = abs(self._count - self._built_count)
-        if self._lengths and grown <= self._built_count * REBUILD_SHARE:
+        change = abs(self._count - self._built_count)
+        if self._lengths and change <= self._built_count * REBUILD_SHARE:
             return
         merged = self._empty()
         merged.add(self._newer)
--- a/src/piershore/core/admission/length_model.py
+++ b/src/piershore/core/admission/length_model.py
@@ -49,19 +49,21 @@
         Stop at the first step whose probability is negligible.
         """
         chain = tuple(self._chain(key))
-        given = self._blended(chain, generated, max_tokens)
-        for further in steps:
-            reached = generated + further
-            if reached >= max_tokens:
+        current = self._blended_survival(chain, generated, max_tokens)
+        for step in steps:
+            length = generated + step
+            if length >= max_tokens:
                 return
-            if given > NEGLIGIBLE_PROBABILITY:
-                chance = self._blended(chain, reached, max_tokens) / given
+            if current > NEGLIGIBLE_PROBABILITY:
+                probability = (
+                    self._blended_survival(chain, length, max_tokens) / current
+                )
             else:
                 # Longer than all samples: only the maximum is known.
-                chance = 1 - further / (max_tokens - generated)
-            if chance <= NEGLIGIBLE_PROBABILITY:
+                probability = 1 - step / (max_tokens - generated)
+            if probability <= NEGLIGIBLE_PROBABILITY:
                 return
-            yield chance
+            yield probability
 
     def expected_remaining(
         self, key: LengthKey, generated: int, max_tokens: int
@@ -70,19 +72,19 @@
         if self._expected_at != self._service.recorded:
             self._expected_at = self._service.recorded
             self._expected.clear()
-        place = (key, generated, max_tokens)
-        if place not in self._expected:
-            self._expected[place] = self._sum_survivals(key, generated, max_tokens)
-        return self._expected[place]
+        cache_key = (key, generated, max_tokens)
+        if cache_key not in self._expected:
+            self._expected[cache_key] = self._sum_survivals(key, generated, max_tokens)
+        return self._expected[cache_key]
 
     def _sum_survivals(self, key: LengthKey, generated: int, max_tokens: int) -> float:
-        chances = list(
+        probabilities = list(
             self.survival_probabilities(key, generated, MEAN_STEPS, max_tokens)
         )
         total = 0.0
-        for number, chance in enumerate(chances):
+        for number, probability in enumerate(probabilities):
             end = min(MEAN_STEPS[number + 1], max_tokens - generated)
-            total += chance * max(0, end - MEAN_STEPS[number])
+            total += probability * max(0, end - MEAN_STEPS[number])
         return total
 
     def _chain(self, key: LengthKey) -> Iterator[LengthHistogram]:
@@ -101,7 +103,7 @@
                     return
 
     @staticmethod
-    def _blended(
+    def _blended_survival(
         chain: tuple[LengthHistogram, ...], length: int, max_tokens: int
     ) -> float:
         """Return the survival of `length`, blending each histogram with the next.
--- a/src/piershore/core/admission/projected_demand.py
+++ b/src/piershore/core/admission/projected_demand.py
@@ -64,13 +64,13 @@
     def add(self, candidate: Candidate, generated: int) -> None:
         """Add one generation that has `generated` tokens so far."""
         held = candidate.prompt_tokens + generated
-        chances = self._model.survival_probabilities(
+        probabilities = self._model.survival_probabilities(
             candidate.length_key, generated, HORIZON_STEPS, candidate.max_tokens
         )
-        for place, chance in enumerate(chances):
-            size = held + HORIZON_STEPS[place]
-            self._mean[place] += chance * size
-            self._variance[place] += chance * (1 - chance) * size * size
+        for index, probability in enumerate(probabilities):
+            size = held + HORIZON_STEPS[index]
+            self._mean[index] += probability * size
+            self._variance[index] += probability * (1 - probability) * size * size
 
     def peak(self, risk: float) -> float:
         """Return the peak demand in tokens that is exceeded with probability `risk`."""
--- a/src/piershore/core/admission/projected_peak.py
+++ b/src/piershore/core/admission/projected_peak.py
@@ -19,7 +19,7 @@
 
     _demand: ProjectedDemand | None = None
 
-    def begin(self, running: Collection[RunningGeneration]) -> None:
+    def start_round(self, running: Collection[RunningGeneration]) -> None:
         """Project the demand of the running generations."""
         self._demand = ProjectedDemand(self._model)
         self._demand.add_all(running)
@@ -34,6 +34,6 @@
         demand.add(candidate, 0)
         return demand.peak(self._settings.risk) <= self.capacity
 
-    def started(self, candidate: Candidate) -> None:
+    def record_start(self, candidate: Candidate) -> None:
         """Add the started generation to the projection."""
         self._demand.add(candidate, 0)
--- a/src/piershore/core/fleet/endpoint_paces.py
+++ b/src/piershore/core/fleet/endpoint_paces.py
@@ -10,7 +10,7 @@
 @dataclass
 class _Pace:
     stalls: StallDetector = field(default_factory=StallDetector)
-    last_part_at: float = float("-inf")
+    last_chunk_at: float = float("-inf")
 
 
 class EndpointPaces:
@@ -22,7 +22,7 @@
     def record_chunk(self, identity: str, gap: float | None, now: float) -> None:
         """Record a stream's chunk, and the seconds since its last chunk, if any."""
         pace = self._paces.setdefault(identity, _Pace())
-        pace.last_part_at = now
+        pace.last_chunk_at = now
         if gap is not None:
             pace.stalls.observe(gap)
 
@@ -34,7 +34,7 @@
     def last_chunk_at(self, identity: str) -> float:
         """Return when the last chunk of any stream of the endpoint arrived."""
         pace = self._paces.get(identity)
-        return pace.last_part_at if pace else float("-inf")
+        return pace.last_chunk_at if pace else float("-inf")
 
     def forget(self, identity: str) -> None:
         """Drop the records of an endpoint that departed."""
--- a/src/piershore/core/fleet/fleet_load.py
+++ b/src/piershore/core/fleet/fleet_load.py
@@ -104,10 +104,10 @@
         loads[identity] = load
         self._add_to_sum(identity, change)
 
-    def forget_peers(self, heard_before: float) -> None:
+    def forget_peers(self, received_before: float) -> None:
         """Drop reports received before a time: their requests have ended since."""
-        old = [peer for peer, (at, _) in self._peers.items() if at < heard_before]
-        for peer in old:
+        stale = [peer for peer, (at, _) in self._peers.items() if at < received_before]
+        for peer in stale:
             self._forget(peer)
 
     def view_age(self, now: float) -> float:
--- a/src/piershore/core/fleet/length_estimate.py
+++ b/src/piershore/core/fleet/length_estimate.py
@@ -29,50 +29,56 @@
         """Return the estimate for a known length."""
         return cls(tokens, 0.0, tokens)
 
-    def mean_remaining(self, made: int) -> float:
+    def mean_remaining(self, generated: int) -> float:
         """Return the mean remaining output, given that `made` tokens were generated."""
-        if made >= self.maximum:
+        if generated >= self.maximum:
             return 0.0
         if self.spread < MIN_SPREAD:
-            return max(0.0, min(self.median, self.maximum) - made)
-        chance = self._chance_beyond(made)
-        if chance < NEGLIGIBLE_PROBABILITY:
-            return (self.maximum - made) / 2
-        return (self._mean_up_to(self.maximum) - self._mean_up_to(made)) / chance
-
-    def median_remaining(self, made: int) -> float:
+            return max(0.0, min(self.median, self.maximum) - generated)
+        probability = self._probability_beyond(generated)
+        if probability < NEGLIGIBLE_PROBABILITY:
+            return (self.maximum - generated) / 2
+        return (
+            self._capped_mean(self.maximum) - self._capped_mean(generated)
+        ) / probability
+
+    def median_remaining(self, generated: int) -> float:
         """Return the remaining tokens up to the median.
 
         Beyond the median, return half of those up to the maximum.
         """
         median = min(self.median, self.maximum)
-        return median - made if made < median else max(0, self.maximum - made) / 2
+        return (
+            median - generated
+            if generated < median
+            else max(0, self.maximum - generated) / 2
+        )
 
-    def _mean_up_to(self, length: float) -> float:
+    def _capped_mean(self, length: float) -> float:
         """Return the mean of the output, capped at `length`."""
         if length <= 0:
             return 0.0
-        place = log(length / self.median) / self.spread
-        below = _normal_beyond(self.spread - place)
-        mean = self.median * exp(self.spread**2 / 2) * below
-        return mean + length * _normal_beyond(place)
+        z_score = log(length / self.median) / self.spread
+        probability_below = _normal_survival(self.spread - z_score)
+        mean = self.median * exp(self.spread**2 / 2) * probability_below
+        return mean + length * _normal_survival(z_score)
 
-    def _chance_beyond(self, length: float) -> float:
+    def _probability_beyond(self, length: float) -> float:
         if length <= 0:
             return 1.0
-        return _normal_beyond(log(length / self.median) / self.spread)
+        return _normal_survival(log(length / self.median) / self.spread)
 
 
-def _normal_beyond(place: float) -> float:
+def _normal_survival(z_score: float) -> float:
     """Return the probability that a standard normal variable exceeds `place`."""
-    return erfc(place / sqrt(2)) / 2
+    return erfc(z_score / sqrt(2)) / 2
 
 
 class LengthExpectation(ABC):
     """Derives the expected remaining output from an estimate."""
 
     @abstractmethod
-    def remaining(self, estimate: LengthEstimate, made: int) -> float:
+    def remaining(self, estimate: LengthEstimate, generated: int) -> float:
         """Return the expected remaining tokens after `made`."""
 
 
@@ -96,15 +102,15 @@
 class MeanLength(LengthExpectation):
     """The conditional mean: sums over many generations are unbiased."""
 
-    def remaining(self, estimate: LengthEstimate, made: int) -> float:
+    def remaining(self, estimate: LengthEstimate, generated: int) -> float:
         """Return the mean remaining output."""
-        return estimate.mean_remaining(made)
+        return estimate.mean_remaining(generated)
 
 
 @length_expectation("median")
 class MedianLength(LengthExpectation):
     """Baseline: the median, which ignores that few long outputs hold most memory."""
 
-    def remaining(self, estimate: LengthEstimate, made: int) -> float:
+    def remaining(self, estimate: LengthEstimate, generated: int) -> float:
         """Return the tokens left to the median."""
-        return estimate.median_remaining(made)
+        return estimate.median_remaining(generated)
--- a/src/piershore/core/fleet/load_update.py
+++ b/src/piershore/core/fleet/load_update.py
@@ -55,13 +55,13 @@
             host, incarnation, number, endpoint, *load = orjson.loads(
                 data[len(LOAD_UPDATE_PREFIX) :]
             )
-            requests, held, projected, unread = map(int, load)
+            requests, held, projected, pending_prompt = map(int, load)
             return cls(
                 str(host),
                 str(incarnation),
                 int(number),
                 str(endpoint),
-                EndpointLoad(requests, held, projected, unread),
+                EndpointLoad(requests, held, projected, pending_prompt),
             )
         except (ValueError, TypeError, OverflowError) as error:
             raise InvalidReportError(f"not a load update: {error!r}") from error
--- a/src/piershore/core/fleet/memory_wait.py
+++ b/src/piershore/core/fleet/memory_wait.py
@@ -30,9 +30,9 @@
 """Maximum delay between the check that found memory and the one before the start."""
 
 
-def max_memory_wait_seconds(aim: float) -> float:
+def max_memory_wait_seconds(target_latency: float) -> float:
     """Return how long a generation may wait for memory, given its target in seconds."""
-    return MAX_WAIT_SHARE * aim
+    return MAX_WAIT_SHARE * target_latency
 
 
 class MemoryWait:
@@ -41,16 +41,16 @@
     def __init__(self, random: Random) -> None:
         self._random = random
         self._has_waited = False
-        self._has_found = False
+        self._has_found_memory = False
 
     def next_pause(self, *, has_memory: bool) -> float | None:
         """Return the seconds until the next check, or None to start now."""
         if not has_memory:
-            self._has_waited, self._has_found = True, False
+            self._has_waited, self._has_found_memory = True, False
             return MEAN_CHECK_INTERVAL_SECONDS * self._random.uniform(
                 *CHECK_INTERVAL_JITTER
             )
-        if not self._has_waited or self._has_found:
+        if not self._has_waited or self._has_found_memory:
             return None
-        self._has_found = True
+        self._has_found_memory = True
         return self._random.uniform(0, MAX_DELAY_BEFORE_START_SECONDS)
--- a/src/piershore/core/fleet/output_lengths.py
+++ b/src/piershore/core/fleet/output_lengths.py
@@ -76,12 +76,12 @@
         )
 
     @classmethod
-    def of(cls, tokens: int, guess: int | None) -> LengthSums:
+    def of(cls, tokens: int, hint: int | None) -> LengthSums:
         """Return the sums for one generation."""
         length = log(max(1, tokens))
-        if guess is None:
+        if hint is None:
             return cls(1.0, length, length**2)
-        error = log(max(1, guess)) - length
+        error = log(max(1, hint)) - length
         return cls(1.0, length, length**2, 1.0, error**2)
 
 
@@ -107,12 +107,12 @@
     def __init__(self) -> None:
         self._own: dict[str, tuple[float, LengthSums]] = {}
         self._peers: dict[str, tuple[float, Mapping[str, LengthSums]]] = {}
-        self._summed: dict[str, tuple[float, LengthSums]] = {}
+        self._sum_cache: dict[str, tuple[float, LengthSums]] = {}
 
     def record(self, route: str, size: GenerationSize, tokens: int, now: float) -> None:
         """Record the length of a generation that completed."""
-        seen = LengthSums.of(tokens, size.hinted_tokens)
-        self._own[route] = (now, self._own_sums(route, now) + seen)
+        observed = LengthSums.of(tokens, size.hinted_tokens)
+        self._own[route] = (now, self._own_sums(route, now) + observed)
 
     def report(self, now: float) -> dict[str, LengthSums]:
         """Return the sums observed by this gateway, by route."""
@@ -123,57 +123,61 @@
     ) -> None:
         """Replace what a peer reported, and drop expired reports."""
         self._peers[peer] = (now, sums)
-        told = self._peers.items()
-        for old in [
-            host for host, (at, _) in told if now - at > PEER_REPORT_EXPIRY_SECONDS
+        reports = self._peers.items()
+        for expired in [
+            host for host, (at, _) in reports if now - at > PEER_REPORT_EXPIRY_SECONDS
         ]:
-            del self._peers[old]
+            del self._peers[expired]
 
-    def route_estimate(self, route: str, most: int, now: float) -> RouteLengthEstimate:
+    def route_estimate(
+        self, route: str, max_tokens: int, now: float
+    ) -> RouteLengthEstimate:
         """Return the estimate of a route whose outputs have at most `most` tokens."""
-        seen = self._all_sums(route, now)
-        first = log(max(1.0, PRIOR_MEDIAN_SHARE * max(1, most)))
-        count = PRIOR_WEIGHT + seen.count
-        middle = (PRIOR_WEIGHT * first + seen.log_sum) / count
+        observed = self._all_sums(route, now)
+        prior_log_median = log(max(1.0, PRIOR_MEDIAN_SHARE * max(1, max_tokens)))
+        count = PRIOR_WEIGHT + observed.count
+        log_median = (PRIOR_WEIGHT * prior_log_median + observed.log_sum) / count
         variance = (
-            PRIOR_WEIGHT * PRIOR_LENGTH_SPREAD**2 + seen.squared_deviation_sum
+            PRIOR_WEIGHT * PRIOR_LENGTH_SPREAD**2 + observed.squared_deviation_sum
         ) / count
-        guess_variance = (
-            PRIOR_WEIGHT * PRIOR_HINT_SPREAD**2 + seen.hint_error_square_sum
-        ) / (PRIOR_WEIGHT + seen.hint_count)
+        hint_variance = (
+            PRIOR_WEIGHT * PRIOR_HINT_SPREAD**2 + observed.hint_error_square_sum
+        ) / (PRIOR_WEIGHT + observed.hint_count)
         return RouteLengthEstimate(
-            exp(middle), sqrt(variance), sqrt(guess_variance), seen.count
+            exp(log_median), sqrt(variance), sqrt(hint_variance), observed.count
         )
 
     def estimate(self, route: str, size: GenerationSize, now: float) -> LengthEstimate:
         """Return the estimate of a new generation's length."""
-        most = max(1, size.max_output_tokens)
-        belief = self.route_estimate(route, most, now)
+        maximum = max(1, size.max_output_tokens)
+        lengths = self.route_estimate(route, maximum, now)
         if size.hinted_tokens is None:
-            return LengthEstimate(belief.median, belief.spread, most)
-        guess_weight = 1 / belief.hint_spread**2
-        own_weight = 1 / belief.spread**2
-        total = guess_weight + own_weight
-        guess = log(max(1, size.hinted_tokens))
-        middle = (guess_weight * guess + own_weight * log(belief.median)) / total
-        return LengthEstimate(exp(middle), 1 / sqrt(total), most)
+            return LengthEstimate(lengths.median, lengths.spread, maximum)
+        hint_weight = 1 / lengths.hint_spread**2
+        route_weight = 1 / lengths.spread**2
+        total = hint_weight + route_weight
+        log_hint = log(max(1, size.hinted_tokens))
+        log_median = (
+            hint_weight * log_hint + route_weight * log(lengths.median)
+        ) / total
+        return LengthEstimate(exp(log_median), 1 / sqrt(total), maximum)
 
     def _own_sums(self, route: str, now: float) -> LengthSums:
         at, sums = self._own.get(route, (now, NO_LENGTHS))
         return sums.scaled(exp((at - now) / DECAY_SECONDS))
 
     def _all_sums(self, route: str, now: float) -> LengthSums:
-        at, sums = self._summed.get(route, (float("-inf"), NO_LENGTHS))
+        at, sums = self._sum_cache.get(route, (float("-inf"), NO_LENGTHS))
         if now - at > SUM_CACHE_SECONDS:
-            sums = self._sum(route, now)
-            self._summed[route] = (now, sums)
+            sums = self._compute_sum(route, now)
+            self._sum_cache[route] = (now, sums)
         return sums
 
-    def _sum(self, route: str, now: float) -> LengthSums:
-        told = (
+    def _compute_sum(self, route: str, now: float) -> LengthSums:
+        reports = (
             sums
             for at, sums in self._peers.values()
             if now - at < PEER_REPORT_EXPIRY_SECONDS
         )
-        peers = (sums.get(route, NO_LENGTHS) for sums in told)
+        peers = (sums.get(route, NO_LENGTHS) for sums in reports)
         return sum(peers, self._own_sums(route, now))
--- a/src/piershore/core/fleet/peer_report.py
+++ b/src/piershore/core/fleet/peer_report.py
@@ -118,29 +118,32 @@
                 {
                     identity: [
                         [
-                            note.request,
-                            note.held_tokens,
-                            note.has_begun,
-                            note.has_backup,
+                            stream.request,
+                            stream.held_tokens,
+                            stream.has_begun,
+                            stream.has_backup,
                         ]
-                        for note in notes
+                        for stream in streams
                     ]
-                    for identity, notes in self.leaving.items()
+                    for identity, streams in self.leaving.items()
                 },
                 [
-                    [note.identity, note.is_gone, note.is_restarted]
-                    for note in self.departed
+                    [departure.identity, departure.is_gone, departure.is_restarted]
+                    for departure in self.departed
                 ],
                 {
-                    identity: [count.failures, count.successes]
-                    for identity, count in self.outcomes.items()
+                    identity: [counts.failures, counts.successes]
+                    for identity, counts in self.outcomes.items()
                 },
-                {identity: round(left, 3) for identity, left in self.cold.items()},
-                _drained_fields(self.drained),
-                {route: _sums_fields(sums) for route, sums in self.lengths.items()},
                 {
-                    identity: [_rate_field(named.rate), round(named.age, AGE_DIGITS)]
-                    for identity, named in self.rate_limits.items()
+                    identity: round(seconds, 3)
+                    for identity, seconds in self.cold.items()
+                },
+                _encode_drained(self.drained),
+                {route: _encode_sums(sums) for route, sums in self.lengths.items()},
+                {
+                    identity: [_encode_rate(report.rate), round(report.age, AGE_DIGITS)]
+                    for identity, report in self.rate_limits.items()
                 },
             ]
         )
@@ -151,13 +154,13 @@
         Leave out what doesn't fit, starting with what peers can do without the longest:
         a larger datagram isn't sent at all, and its sender would seem to have departed.
         """
-        for report in self._shorter():
+        for report in self._shortened_reports():
             data = report.encode()
             if len(data) <= limit:
                 break
         return data
 
-    def _shorter(self) -> Iterator[PeerReport]:
+    def _shortened_reports(self) -> Iterator[PeerReport]:
         """Yield the report, then ever shorter versions of it."""
         report = self
         yield report
@@ -165,14 +168,14 @@
         yield report
         for halvings in range(1, MAX_HALVINGS + 1):
             yield replace(report, loads=self._busiest(len(self.loads) >> halvings))
-        for rest in (
+        for emptied in (
             {"loads": {}},
             {"rate_limits": {}},
             {"members": ()},
             {"leaving": {}},
             {"departed": ()},
         ):
-            report = replace(report, **rest)
+            report = replace(report, **emptied)
             yield report
 
     def _busiest(self, count: int) -> dict[str, EndpointLoad]:
@@ -202,13 +205,18 @@
                 float(numbers[8]),
                 tuple(map(str, members)),
                 {k: EndpointLoad(*map(int, v)) for k, v in loads.items()},
-                {k: tuple(map(_note, notes)) for k, notes in leaving.items()},
-                tuple(DepartureReport(str(i), *map(bool, how)) for i, *how in departed),
+                {
+                    k: tuple(map(_decode_stream, streams))
+                    for k, streams in leaving.items()
+                },
+                tuple(
+                    DepartureReport(str(i), *map(bool, flags)) for i, *flags in departed
+                ),
                 {k: OutcomeCounts(*map(int, v)) for k, v in outcomes.items()},
-                {k: _amount(v) for k, v in cold.items()},
-                None if drained is None else _drained(drained),
-                {k: LengthSums(*map(_amount, v)) for k, v in lengths.items()},
-                {k: _rate_report(*v) for k, v in rate_limits.items()},
+                {k: _decode_amount(v) for k, v in cold.items()},
+                None if drained is None else _decode_drained(drained),
+                {k: LengthSums(*map(_decode_amount, v)) for k, v in lengths.items()},
+                {k: _decode_rate_report(*v) for k, v in rate_limits.items()},
             )
         except (
             ValueError,
@@ -220,36 +228,38 @@
             raise InvalidReportError(f"not a report: {error!r}") from error
 
 
-def _note(fields: list) -> StreamReport:
+def _decode_stream(fields: list) -> StreamReport:
     request, held_tokens, *flags = fields
     if len(flags) != STREAM_FLAG_COUNT:
         raise ValueError("a stream has the wrong number of flags")
     return StreamReport(str(request), int(held_tokens), *map(bool, flags))
 
 
-def _amount(value: object) -> float:
+def _decode_amount(value: object) -> float:
     amount = float(value)
     if not 0 <= amount < MAX_AMOUNT:
         raise ValueError(f"{value!r} is not a valid amount")
     return amount
 
 
-def _rate_field(rate: float) -> float | None:
+def _encode_rate(rate: float) -> float | None:
     return None if rate == UNLIMITED else rate
 
 
-def _rate_report(rate: object, age: object) -> RateReport:
-    return RateReport(UNLIMITED if rate is None else _amount(rate), _amount(age))
+def _decode_rate_report(rate: object, age: object) -> RateReport:
+    return RateReport(
+        UNLIMITED if rate is None else _decode_amount(rate), _decode_amount(age)
+    )
 
 
-def _sums_fields(sums: LengthSums) -> list[float]:
+def _encode_sums(sums: LengthSums) -> list[float]:
     return [round(value, SUM_DIGITS) for value in astuple(sums)]
 
 
-def _drained_fields(drained: DrainedHalls | None) -> list | None:
+def _encode_drained(drained: DrainedHalls | None) -> list | None:
     return drained and [drained.revision, sorted(drained.data_halls)]
 
 
-def _drained(fields: list) -> DrainedHalls:
+def _decode_drained(fields: list) -> DrainedHalls:
     revision, data_halls = fields
     return DrainedHalls(StoreRevision(revision), frozenset(map(str, data_halls)))
--- a/src/piershore/core/fleet/peer_table.py
+++ b/src/piershore/core/fleet/peer_table.py
@@ -43,8 +43,8 @@
         if report.host == self._own_host:
             return False
         for host in report.members:
-            self._meet(host, now)
-        peer = self._meet(report.host, now)
+            self._get_or_add(host, now)
+        peer = self._get_or_add(report.host, now)
         last = peer.report
         if (
             last is not None
@@ -56,18 +56,18 @@
         peer.report_received_at = now
         return True
 
-    def is_newer(self, note: LoadUpdate) -> bool:
+    def is_newer(self, update: LoadUpdate) -> bool:
         """Return whether an update is newer than its gateway's last report."""
-        peer = self._peers.get(note.host)
+        peer = self._peers.get(update.host)
         if peer is None or peer.report is None:
             return False
         last = peer.report
-        return last.incarnation == note.incarnation and last.number < note.number
+        return last.incarnation == update.incarnation and last.number < update.number
 
     def live_peers(self, now: float) -> list[Peer]:
         """Return the peers whose last report is recent."""
-        silent = peer_timeout(len(self._peers))
-        return [p for p in self._peers.values() if now - p.report_received_at < silent]
+        timeout = peer_timeout(len(self._peers))
+        return [p for p in self._peers.values() if now - p.report_received_at < timeout]
 
     def members(self, now: float) -> tuple[str, ...]:
         """Return the hosts to name in a report."""
@@ -77,18 +77,21 @@
 
     def report_targets(self, round_number: int, now: float) -> Iterator[str]:
         """Yield the hosts that get the report of this round; drop expired peers."""
-        silent = peer_timeout(len(self._peers))
+        timeout = peer_timeout(len(self._peers))
         for peer in list(self._peers.values()):
-            if now - peer.report_received_at < silent:
+            if now - peer.report_received_at < timeout:
                 yield peer.host
                 continue
-            known = max(peer.report_received_at, peer.known_since)
-            if peer.host not in self._seeds and now - known > PEER_EXPIRY_SECONDS:
+            last_known_at = max(peer.report_received_at, peer.known_since)
+            if (
+                peer.host not in self._seeds
+                and now - last_known_at > PEER_EXPIRY_SECONDS
+            ):
                 del self._peers[peer.host]
             elif round_number % SILENT_PEER_ROUND_INTERVAL == 0:
                 yield peer.host
 
-    def _meet(self, host: str, now: float) -> Peer:
+    def _get_or_add(self, host: str, now: float) -> Peer:
         if host == self._own_host:
             return Peer(host, now)
         peer = self._peers.get(host)
--- a/src/piershore/core/fleet/placement.py
+++ b/src/piershore/core/fleet/placement.py
@@ -88,8 +88,8 @@
         policy: PlacementPolicy,
         stalls: DataHallStalls,
         subsets: EndpointSubsets,
-        cold: ColdStarts,
-        rests: RequestedBackoffs,
+        cold_starts: ColdStarts,
+        backoffs: RequestedBackoffs,
         limits: EndpointRateLimits,
         disabled: frozenset[Mechanism] = frozenset(),
     ) -> None:
@@ -101,14 +101,16 @@
         self._policy = policy
         self._stalls = stalls
         self._subsets = subsets
-        self._cold = cold
-        self._rests = rests
+        self._cold_starts = cold_starts
+        self._backoffs = backoffs
         self._limits = limits
         self._uses_subsets = Mechanism.SUBSETS not in disabled
         self._counts_stalls = Mechanism.STALL_COST not in disabled
         self._ejects = Mechanism.EJECTION not in disabled
-        self._failure_cost = _cost(FAILURE_COST, Mechanism.FAILURE_COST, disabled)
-        self._remote_cost = _cost(
+        self._failure_cost = _cost_if_enabled(
+            FAILURE_COST, Mechanism.FAILURE_COST, disabled
+        )
+        self._remote_cost = _cost_if_enabled(
             REMOTE_DATA_HALL_COST, Mechanism.HALL_PREFERENCE, disabled
         )
 
@@ -117,7 +119,7 @@
     ) -> PlacementDecision | None:
         """Return the decision for a plain request, or None without an endpoint."""
         endpoints = self._directory.of_service(service)
-        return self._cheapest(endpoints, now, excluded, self._call_cost, _all)
+        return self._cheapest(endpoints, now, excluded, self._call_cost, _keep_all)
 
     def for_generation(
         self,
@@ -141,14 +143,16 @@
         endpoints = self._directory.of_service(service)
         if self._uses_subsets and not anywhere:
             subset = self._subsets.own(service)
-            if any(self._is_sound(e, now) for e in self._able(subset, now, excluded)):
+            if any(
+                self._is_healthy(e, now) for e in self._eligible(subset, now, excluded)
+            ):
                 endpoints = subset
         return self._cheapest(endpoints, now, excluded, cost, self._policy.sample)
 
     def available_endpoints(self, service: str, now: float) -> Iterator[Endpoint]:
         """Yield the endpoints of a service that are healthy and accept work now."""
         for endpoint in self._directory.of_service(service):
-            if self._is_sound(endpoint, now) and not self.seconds_until_available(
+            if self._is_healthy(endpoint, now) and not self.seconds_until_available(
                 endpoint, now
             ):
                 yield endpoint
@@ -158,8 +162,8 @@
 
         0 means now, inf that the endpoint's rate limit leaves this gateway no quota.
         """
-        rest = self._rests.seconds_left(endpoint.identity, now)
-        return max(rest, self._limits.seconds_until_free(endpoint, now))
+        backoff = self._backoffs.seconds_left(endpoint.identity, now)
+        return max(backoff, self._limits.seconds_until_free(endpoint, now))
 
     def seconds_until_any_available(self, service: str, now: float) -> float | None:
         """Return the seconds until any endpoint of a service accepts work.
@@ -180,7 +184,7 @@
             if self._limits.is_limited(endpoint.identity)
         )
 
-    def _able(
+    def _eligible(
         self, endpoints: Iterable[Endpoint], now: float, excluded: Collection[str]
     ) -> Iterator[Endpoint]:
         """Yield the endpoints that may be chosen.
@@ -193,10 +197,10 @@
                 endpoint, now
             ):
                 continue
-            if self._cold.may_send(endpoint, now):
+            if self._cold_starts.may_send(endpoint, now):
                 yield endpoint
 
-    def _is_sound(self, endpoint: Endpoint, now: float) -> bool:
+    def _is_healthy(self, endpoint: Endpoint, now: float) -> bool:
         return not (self._ejects and self._health.is_ejected(endpoint.identity, now))
 
     def _cheapest(
@@ -206,13 +210,15 @@
         compared = endpoints
         if len(endpoints) > MAX_COMPARED_ENDPOINTS:
             compared = self._random.sample(endpoints, MAX_COMPARED_ENDPOINTS)
-        able = list(self._able(compared, now, excluded))
-        sound = [e for e in able if self._is_sound(e, now)]
-        if not sound and len(compared) < len(endpoints):
-            able = list(self._able(endpoints, now, excluded))
-            sound = [e for e in able if self._is_sound(e, now)]
-            sound = self._random.sample(sound, min(len(sound), MAX_COMPARED_ENDPOINTS))
-        sampled = sample(sound or able, self._random)
+        eligible = list(self._eligible(compared, now, excluded))
+        healthy = [e for e in eligible if self._is_healthy(e, now)]
+        if not healthy and len(compared) < len(endpoints):
+            eligible = list(self._eligible(endpoints, now, excluded))
+            healthy = [e for e in eligible if self._is_healthy(e, now)]
+            healthy = self._random.sample(
+                healthy, min(len(healthy), MAX_COMPARED_ENDPOINTS)
+            )
+        sampled = sample(healthy or eligible, self._random)
         candidates = (self._candidate(endpoint, cost) for endpoint in sampled)
         ranked = nsmallest(
             1 + MAX_LOGGED_ALTERNATIVES, candidates, key=lambda c: c.cost
@@ -220,10 +226,10 @@
         if not ranked:
             return None
         best, *others = ranked
-        ejected = {e.identity for e in able} - {e.identity for e in sound}
+        ejected = {e.identity for e in eligible} - {e.identity for e in healthy}
         view_age = self._fleet_load.view_age(now)
         resting = [
-            e.identity for e in compared if self._rests.is_active(e.identity, now)
+            e.identity for e in compared if self._backoffs.is_active(e.identity, now)
         ]
         return PlacementDecision(
             best,
@@ -249,9 +255,11 @@
         return load.requests / max(1, endpoint.slots)
 
 
-def _all(endpoints: list[Endpoint], random: Random) -> list[Endpoint]:
+def _keep_all(endpoints: list[Endpoint], random: Random) -> list[Endpoint]:
     return endpoints
 
 
-def _cost(cost: float, mechanism: Mechanism, disabled: frozenset[Mechanism]) -> float:
+def _cost_if_enabled(
+    cost: float, mechanism: Mechanism, disabled: frozenset[Mechanism]
+) -> float:
     return 0.0 if mechanism in disabled else cost
--- a/src/piershore/core/fleet/placement_policy.py
+++ b/src/piershore/core/fleet/placement_policy.py
@@ -57,10 +57,10 @@
         self, load: EndpointLoad, work: GenerationWork, engine: EngineSpec
     ) -> float:
         """Return how full the engine would become."""
-        wanted = work.held_tokens + work.remaining_tokens
-        memory = (load.projected_tokens + wanted) / engine.memory_tokens
-        unread = load.pending_prompt_tokens / PENDING_PROMPT_COST_TOKENS
-        return memory + BATCH_COST * _batch_share(load, engine) + unread
+        required = work.held_tokens + work.remaining_tokens
+        memory = (load.projected_tokens + required) / engine.memory_tokens
+        pending_prompts = load.pending_prompt_tokens / PENDING_PROMPT_COST_TOKENS
+        return memory + BATCH_COST * _batch_share(load, engine) + pending_prompts
 
 
 @placement_policy("least_in_flight")
--- a/src/piershore/core/fleet/subsetting.py
+++ b/src/piershore/core/fleet/subsetting.py
@@ -31,8 +31,8 @@
 
 def subset_width(gateways: int, endpoints: int) -> int:
     """Return how many of the endpoints each gateway chooses from."""
-    wanted = max(SUBSET_SIZE, ceil(MIN_GATEWAYS_PER_ENDPOINT * endpoints / gateways))
-    return min(endpoints, wanted)
+    width = max(SUBSET_SIZE, ceil(MIN_GATEWAYS_PER_ENDPOINT * endpoints / gateways))
+    return min(endpoints, width)
 
 
 def subset_positions(rank: int, gateways: int, endpoints: int) -> Iterator[int]:
@@ -45,11 +45,11 @@
         yield (start + step) % endpoints
 
 
-def sharing_ranks(place: int, gateways: int, endpoints: int) -> Iterator[int]:
+def sharing_ranks(position: int, gateways: int, endpoints: int) -> Iterator[int]:
     """Yield the ranks of the gateways whose subsets contain a ring position."""
     width = subset_width(gateways, endpoints)
-    first = _first_rank(place - width + 1, gateways, endpoints)
-    after_last = _first_rank(place + 1, gateways, endpoints)
+    first = _first_rank(position - width + 1, gateways, endpoints)
+    after_last = _first_rank(position + 1, gateways, endpoints)
     for rank in range(first, min(after_last, first + gateways)):
         yield rank % gateways
 
@@ -64,7 +64,7 @@
     """What subsets are computed from: the live gateways and the list of endpoints."""
 
     hosts: tuple[str, ...]
-    selection: tuple[int, frozenset[str]]
+    placeable_version: tuple[int, frozenset[str]]
 
 
 class EndpointSubsets:
@@ -76,8 +76,8 @@
         self._hosts: tuple[str, ...] = (own_host,)
         self._own_rank = 0
         self._rings: dict[str, list[Endpoint]] = {}
-        self._places: dict[str, int] = {}
-        self._selection: tuple[int, frozenset[str]] | None = None
+        self._positions: dict[str, int] = {}
+        self._placeable_version: tuple[int, frozenset[str]] | None = None
 
     def set_peers(self, hosts: Iterable[str]) -> None:
         """Set the other gateways that accept callers."""
@@ -102,30 +102,30 @@
         ring = self._ring(service)
         if not ring:
             return []
-        places = subset_positions(self._own_rank, len(self._hosts), len(ring))
-        return [ring[place] for place in places]
+        positions = subset_positions(self._own_rank, len(self._hosts), len(ring))
+        return [ring[position] for position in positions]
 
     def sharing_peers(self, endpoint: Endpoint) -> Iterator[str]:
         """Yield the hosts of the peers that also choose from an endpoint."""
         ring = self._ring(endpoint.service)
-        place = self._places.get(endpoint.identity)
-        if place is None:
+        position = self._positions.get(endpoint.identity)
+        if position is None:
             return
-        for rank in sharing_ranks(place, len(self._hosts), len(ring)):
+        for rank in sharing_ranks(position, len(self._hosts), len(ring)):
             if rank != self._own_rank:
                 yield self._hosts[rank]
 
     def _ring(self, service: str) -> list[Endpoint]:
         """Return a service's listed endpoints in the order that all gateways use."""
-        if self._selection != self._directory.placeable_version:
-            self._selection = self._directory.placeable_version
+        if self._placeable_version != self._directory.placeable_version:
+            self._placeable_version = self._directory.placeable_version
             self._rings.clear()
-            self._places.clear()
+            self._positions.clear()
         ring = self._rings.get(service)
         if ring is None:
             listed = self._directory.of_service(service)
             ring = sorted(listed, key=lambda endpoint: stable_hash(endpoint.identity))
             self._rings[service] = ring
-            places = enumerate(ring)
-            self._places.update((e.identity, place) for place, e in places)
+            positions = enumerate(ring)
+            self._positions.update((e.identity, position) for position, e in positions)
         return ring
--- a/src/piershore/core/limits/endpoint_rate_limiter.py
+++ b/src/piershore/core/limits/endpoint_rate_limiter.py
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         self._rate: float | None = None
-        self._named_at = float("-inf")
+        self._limit_received_at = float("-inf")
         self._bucket = TokenBucket(0.0, 0.0)
 
     def record_answer(self, rate: float | None, now: float) -> None:
@@ -27,7 +27,7 @@
         `rate` is None if the answer advertises no limit.
         """
         if rate is None:
-            if now - self._named_at >= MAX_REORDERING_SECONDS:
+            if now - self._limit_received_at >= MAX_REORDERING_SECONDS:
                 self._rate = None
             return
         rate = max(rate, MIN_REQUESTS_PER_SECOND)
@@ -35,7 +35,7 @@
             self._bucket = TokenBucket(1.0, now)
         else:
             self._refill(now)
-        self._rate, self._named_at = rate, now
+        self._rate, self._limit_received_at = rate, now
 
     def try_acquire(self, now: float) -> bool:
         """Take a permit if one is available; return whether it was."""
--- a/src/piershore/core/limits/retry_schedule.py
+++ b/src/piershore/core/limits/retry_schedule.py
@@ -18,7 +18,7 @@
     """Assigns retry times for one service; times are in seconds."""
 
     def __init__(self) -> None:
-        self._last_place = float("-inf")
+        self._last_retry_at = float("-inf")
 
     def reserve(self, first: float, rate: float, now: float) -> float:
         """Reserve the next free retry time; return the seconds until then.
@@ -26,10 +26,11 @@
         `first` is the number of seconds until the first request is accepted, or inf if
         that is unknown; after it, `rate` requests per second are accepted.
         """
-        gap = 1 / rate
-        first = gap if isinf(first) else first
-        place = min(
-            max(now + first, self._last_place + gap), now + MAX_RETRY_AFTER_SECONDS
+        interval = 1 / rate
+        first = interval if isinf(first) else first
+        retry_at = min(
+            max(now + first, self._last_retry_at + interval),
+            now + MAX_RETRY_AFTER_SECONDS,
         )
-        self._last_place = place
-        return place - now
+        self._last_retry_at = retry_at
+        return retry_at - now
--- a/src/piershore/core/routing/aperture.py
+++ b/src/piershore/core/routing/aperture.py
@@ -10,7 +10,7 @@
 
 
 def choose_aperture(
-    gateway: str, data_hall: str, halls: Mapping[str, str], size: int
+    gateway: str, data_hall: str, data_halls: Mapping[str, str], size: int
 ) -> frozenset[str]:
     """Return up to `size` endpoints, most of them in the gateway's own data hall.
 
@@ -19,9 +19,9 @@
     its own is overloaded or lost. Each gateway ranks the endpoints by its own hash, so
     that links spread evenly and few change when an endpoint is added or removed.
     """
-    ranked = rendezvous_order(gateway, halls)
-    local = [name for name in ranked if halls[name] == data_hall]
-    remote = [name for name in ranked if halls[name] != data_hall]
-    kept_for_remote = min(len(remote), size // REMOTE_SHARE)
-    chosen = local[: size - kept_for_remote]
+    ranked = rendezvous_order(gateway, data_halls)
+    local = [name for name in ranked if data_halls[name] == data_hall]
+    remote = [name for name in ranked if data_halls[name] != data_hall]
+    remote_count = min(len(remote), size // REMOTE_SHARE)
+    chosen = local[: size - remote_count]
     return frozenset(chosen + remote[: size - len(chosen)])
--- a/src/piershore/core/routing/load_balancing_policy.py
+++ b/src/piershore/core/routing/load_balancing_policy.py
@@ -40,9 +40,9 @@
 ) -> Callable[[type[LoadBalancingPolicy]], type[LoadBalancingPolicy]]:
     """Register a policy under its setting value."""
 
-    def register(choice: type[LoadBalancingPolicy]) -> type[LoadBalancingPolicy]:
-        LOAD_BALANCING_POLICIES[name] = choice
-        return choice
+    def register(policy: type[LoadBalancingPolicy]) -> type[LoadBalancingPolicy]:
+        LOAD_BALANCING_POLICIES[name] = policy
+        return policy
 
     return register
 
@@ -62,8 +62,8 @@
 
     def choose(self, endpoints: Sequence[EndpointState], prompt: str) -> EndpointState:
         """Return the less loaded of two random endpoints."""
-        drawn = self._random.sample(endpoints, min(2, len(endpoints)))
-        return min(drawn, key=self.cost)
+        sampled = self._random.sample(endpoints, min(2, len(endpoints)))
+        return min(sampled, key=self.cost)
 
 
 @load_balancing_policy("prefix_affinity")
