--- a/features/large_fleet.feature
+++ b/features/large_fleet.feature
@@ -38,18 +38,18 @@
 
   Scenario Outline: <gateways> gateways share <endpoints> endpoints
     Then each of <gateways> gateways chooses from <chosen> of <endpoints> endpoints
-    And each endpoint is shared by <least> to <most> gateways, which get its load updates
+    And each endpoint is shared by <minimum> to <maximum> gateways, which get its load updates
 
     Examples:
-      | gateways | endpoints | chosen | least | most |
-      | 1        | 9         | 9      | 1     | 1    |
-      | 6        | 7         | 7      | 6     | 6    |
-      | 3        | 50        | 34     | 2     | 3    |
-      | 30       | 22        | 12     | 16    | 17   |
-      | 60       | 31        | 12     | 23    | 24   |
-      | 61       | 31        | 12     | 23    | 24   |
-      | 68       | 31        | 12     | 26    | 27   |
-      | 410      | 2300      | 12     | 2     | 3    |
+      | gateways | endpoints | chosen | minimum | maximum |
+      | 1        | 9         | 9      | 1       | 1       |
+      | 6        | 7         | 7      | 6       | 6       |
+      | 3        | 50        | 34     | 2       | 3       |
+      | 30       | 22        | 12     | 16      | 17      |
+      | 60       | 31        | 12     | 23      | 24      |
+      | 61       | 31        | 12     | 23      | 24      |
+      | 68       | 31        | 12     | 26      | 27      |
+      | 410      | 2300      | 12     | 2       | 3       |
 
   Scenario: A subset whose endpoints are all failing or full
     Then a generation is placed at an endpoint outside the subset, if there is one
--- a/features/steps/core_admission_steps.py
+++ b/features/steps/core_admission_steps.py
@@ -10,9 +10,11 @@
 from piershore.core.configuration.objects import AdmissionSettings
 
 
-def candidate(number, prompt=100, most=1_000, priority=0, deadline=None, kind="k"):
+def candidate(
+    number, prompt=100, max_tokens=1_000, priority=0, deadline=None, kind="k"
+):
     return Candidate(
-        f"c{number}", LengthKey("a", kind), priority, prompt, most, 0.0, deadline
+        f"c{number}", LengthKey("a", kind), priority, prompt, max_tokens, 0.0, deadline
     )
 
 
@@ -29,7 +31,7 @@
     context.actions = list(context.queue.poll(now))
 
 
-def teach(context, length):
+def train(context, length):
     """Train the queue with answers of `length` tokens."""
     for number in range(100):
         one = candidate(f"learn{number}")
@@ -58,8 +60,8 @@
 
 
 @when("the queue can't reach a request by its deadline")
-def submit_hopeless(context):
-    teach(context, 900)
+def submit_unreachable(context):
+    train(context, 900)
     context.queue.record_tokens(0, 0.0)
     context.queue.record_tokens(1_000, 10.0)
     submit_many(context, 20, priority=1)
@@ -69,27 +71,27 @@
 
 @when("an urgent request comes after many others")
 def submit_urgent(context):
-    submit_many(context, 20, most=3_000)
+    submit_many(context, 20, max_tokens=3_000)
     context.queue.submit(candidate("last", priority=9), 1.0)
     poll(context)
 
 
 @when("the engine is empty and the request is huge")
 def submit_huge(context):
-    context.queue.submit(candidate("last", prompt=3_900, most=9_000), 1.0)
+    context.queue.submit(candidate("last", prompt=3_900, max_tokens=9_000), 1.0)
     poll(context)
 
 
 @when("learned long answers would outgrow the engine")
 def submit_long(context):
-    teach(context, 900)
+    train(context, 900)
     submit_many(context, 20)
     poll(context)
 
 
 @when("learned short answers leave room")
 def submit_short(context):
-    teach(context, 20)
+    train(context, 20)
     submit_many(context, 20)
     poll(context)
 
--- a/features/steps/core_limit_steps.py
+++ b/features/steps/core_limit_steps.py
@@ -34,30 +34,31 @@
 
 
 @then(
-    "{tries:d} first tries with a share of {share:f} allow no more than {most:d} retries"
+    "{attempts:d} first tries with a share of {share:f} allow no more than "
+    "{maximum:d} retries"
 )
-def check_budget(context, tries, share, most):
+def check_budget(context, attempts, share, maximum):
     context.share = share
-    retries = count_retries(1, tries, share)
-    assert most * 0.8 <= retries <= most, retries
+    retries = count_retries(1, attempts, share)
+    assert maximum * 0.8 <= retries <= maximum, retries
 
 
 @then(
-    "{gateways:d} gateways with {tries:d} first tries together allow no more than "
-    "{most:d} retries"
+    "{gateways:d} gateways with {attempts:d} first tries together allow no more than "
+    "{maximum:d} retries"
 )
-def check_shared_budget(context, gateways, tries, most):
-    retries = count_retries(gateways, tries, context.share)
-    assert most * 0.8 <= retries <= most, retries
+def check_shared_budget(context, gateways, attempts, maximum):
+    retries = count_retries(gateways, attempts, context.share)
+    assert maximum * 0.8 <= retries <= maximum, retries
 
 
-def count_retries(gateways, tries, share):
-    """Return the retries allowed if every first attempt requests one at the same time."""
+def count_retries(gateways, attempts, share):
+    """Return the retries allowed if all first attempts request one at the same time."""
 
     async def spend():
         shares = [Retries(share, lambda: gateways) for _ in range(gateways)]
         spent = 0
-        for number in range(tries):
+        for number in range(attempts):
             retries = shares[number % gateways]
             retries.note_request()
             spent += retries.spend()
@@ -79,13 +80,13 @@
 
 @then(
     "with {gateways:d} gateways, {endpoints:d} endpoints and an aperture of {size:d} "
-    "every endpoint has {least:d} to {most:d} links"
+    "every endpoint has {minimum:d} to {maximum:d} links"
 )
-def check_apertures(context, gateways, endpoints, size, least, most):
+def check_apertures(context, gateways, endpoints, size, minimum, maximum):
     chosen = apertures(gateways, endpoints, size)
     links = Counter(name for names in chosen.values() for name in names)
     counts = [links[f"e{n}"] for n in range(endpoints)]
-    assert least <= min(counts) and max(counts) <= most, (min(counts), max(counts))
+    assert minimum <= min(counts) and max(counts) <= maximum, (min(counts), max(counts))
     context.aperture = (gateways, endpoints, size, chosen)
 
 
@@ -114,9 +115,9 @@
             admission.release()
 
     assert limiter.admit("a", limits, 0.0) is None
-    never_begun = answer(Admission(limiter, "a"))
+    unstarted = answer(Admission(limiter, "a"))
     assert limiter.admit("a", limits, 0.0) is not None
-    del never_begun
+    del unstarted
     assert limiter.admit("a", limits, 0.0) is None
     admission = Admission(limiter, "a")
     admission.release()
--- a/features/steps/ingress_belief_steps.py
+++ b/features/steps/ingress_belief_steps.py
@@ -69,8 +69,10 @@
         current = CurrentConfiguration()
         highest = 0
         for version in versions:
-            taken = current.apply_if_newer(ServingConfiguration(version, {}, {}, {}))
-            assert taken == (version > highest)
+            is_applied = current.apply_if_newer(
+                ServingConfiguration(version, {}, {}, {})
+            )
+            assert is_applied == (version > highest)
             highest = max(highest, version)
             assert current.version == highest
 
@@ -81,7 +83,7 @@
     def check(seed):
         random = Random(seed)
         directory = EndpointDirectory()
-        left, now = set(), 0.0
+        excluded, now = set(), 0.0
         for _ in range(60):
             now += random.random()
             identity = f"i-{random.randrange(6)}"
@@ -99,15 +101,15 @@
                 known = directory.get(identity)
                 departed = directory.put(endpoint(identity, stage))
                 if known is not None and stage is EndpointStage.LEAVING:
-                    left.add(identity)
+                    excluded.add(identity)
             else:
                 departed = directory.remove(
                     identity, now, after_outage=action == "lapse"
                 )
             departed += directory.drop_expired(now)
-            # An endpoint whose entry was only removed may be listed again: it was unreachable.
-            left.update(d.endpoint.identity for d in departed if not d.is_gone)
-            assert not left & {e.identity for e in directory.of_service("s")}
+            # If only its entry was removed, it was unreachable and may be listed again.
+            excluded.update(d.endpoint.identity for d in departed if not d.is_gone)
+            assert not excluded & {e.identity for e in directory.of_service("s")}
 
 
 @then("what is doubted is dropped before 2 seconds have passed, sweeps included")
@@ -134,9 +136,9 @@
             found = sum(g.data_hall == f"h{hall}" for g in watching)
             # A fleet of at most two gateways has too few watchers to rely on.
             assert found == size or len(fleet) <= 2, (hall, found)
-        deaf = [replace(g, reads_store=False) for g in fleet]
+        without_store = [replace(g, reads_store=False) for g in fleet]
         own = WatchCandidate("x", "h0", True, 10.0)
-        assert should_watch_store(own, deaf)
+        assert should_watch_store(own, without_store)
         assert should_watch_store(own, [])
 
 
@@ -195,7 +197,7 @@
     assert not health.record_failure("i", now)
 
 
-LOST_REPORTS = 0.02
+LOSS_RATE = 0.02
 """Share of the datagrams that a busy network loses."""
 
 
@@ -207,7 +209,7 @@
     random = Random(gateways)
     for number in range(1, 40):
         for host in hosts[1:]:
-            is_lost = number > 1 and random.random() < LOST_REPORTS
+            is_lost = number > 1 and random.random() < LOSS_RATE
             if not is_lost:
                 table.apply_report(peer_report(host, number), number * interval)
         assert len(table.live_peers((number + 0.9) * interval)) == gateways - 1
@@ -231,33 +233,35 @@
     peers = gateways - 1
     random = Random(peers)
     rounds = 200
-    passed = sum(should_forward(peers, random.random()) for _ in range(rounds * peers))
-    wanted = min(peers, number)
-    assert abs(passed / rounds - wanted) < 1, passed
+    forwarded = sum(
+        should_forward(peers, random.random()) for _ in range(rounds * peers)
+    )
+    expected = min(peers, number)
+    assert abs(forwarded / rounds - expected) < 1, forwarded
 
 
 @then("it is the same from any order, another after each change, and worked out once")
 def check_fingerprint(context):
     endpoints = list(fleet_of(5))
     one, other = EndpointDirectory(), EndpointDirectory()
-    seen = set()
+    fingerprints = set()
     for listed in endpoints:
         one.put(listed)
-        seen.add(one.fingerprint)
+        fingerprints.add(one.fingerprint)
     for listed in reversed(endpoints):
         other.put(listed)
     assert one.fingerprint == other.fingerprint
     one.mark_leaving("i-0")
-    seen.add(one.fingerprint)
+    fingerprints.add(one.fingerprint)
     one.remove("i-1", 0.0, after_outage=False)
-    seen.add(one.fingerprint)
-    assert len(seen) == len(endpoints) + 2
+    fingerprints.add(one.fingerprint)
+    assert len(fingerprints) == len(endpoints) + 2
     one.put(endpoints[2])
     with patch.object(EndpointDirectory, "__iter__", side_effect=AssertionError):
-        assert one.fingerprint in seen
+        assert one.fingerprint in fingerprints
 
 
-def store_signs(text):
+def parse_store_liveness(text):
     """Parse signs like "0.2, 4 overdue": seconds since an answer, by gateway."""
     for word in text.split(","):
         age, _, mark = word.strip().partition(" ")
@@ -267,19 +271,21 @@
 @then("with the gateways' last answers {ages} s ago the store {state}")
 def check_store_state(context, ages, state):
     expected = {"seems silent": True, "does not seem silent": False}[state]
-    assert is_store_silent(store_signs(ages)) is expected
+    assert is_store_silent(parse_store_liveness(ages)) is expected
 
 
 @then("a report tells of the store's last answer, also if there was none")
 def check_sign_told(context):
-    for told, read in (
+    for sent, received in (
         ((0.5, True), (0.5, True)),
         ((float("inf"), False), (3_600.0, False)),
     ):
         report = replace(
-            peer_report("10.0.0.1", 1), store_liveness=StoreLiveness(*told)
+            peer_report("10.0.0.1", 1), store_liveness=StoreLiveness(*sent)
+        )
+        assert PeerReport.decode(report.encode()).store_liveness == StoreLiveness(
+            *received
         )
-        assert PeerReport.decode(report.encode()).store_liveness == StoreLiveness(*read)
 
 
 @given("gateways that were told to stop {ago} s ago, with a grace of {grace:g} s")
@@ -306,8 +312,8 @@
     for number, word in enumerate(outcomes.split(", ")):
         failures, successes = map(int, word.split("/"))
         if number:
-            told = {"i-0": OutcomeCounts(failures, successes)}
-            context.shared.apply_report(f"peer-{number}", told, 0.0)
+            report = {"i-0": OutcomeCounts(failures, successes)}
+            context.shared.apply_report(f"peer-{number}", report, 0.0)
             continue
         for failed in [True] * failures + [False] * successes:
             context.shared.record("i-0", 0.0, failed=failed)
--- a/features/steps/ingress_placement_steps.py
+++ b/features/steps/ingress_placement_steps.py
@@ -44,7 +44,7 @@
     trio.run(check)
 
 
-def note(number, tokens, *, has_begun=True):
+def stream_report(number, tokens, *, has_begun=True):
     return StreamReport(f"r{number}", tokens, has_begun)
 
 
@@ -55,23 +55,23 @@
 def check_plan(context):
     @checked(st.lists(st.integers(100, 9_000), max_size=12), st.integers(0, 99))
     def check(sizes, seed):
-        notes = [note(number, size) for number, size in enumerate(sizes)]
+        reports = [stream_report(number, size) for number, size in enumerate(sizes)]
         loads = {t.identity: EndpointLoad(projected_tokens=9_000) for t in TARGETS[:3]}
         source = endpoint("source")
-        plan = plan_evacuation(source, notes, TARGETS, loads, ENGINE)
-        assert sorted(m.request for m in plan) == sorted(n.request for n in notes)
-        Random(seed).shuffle(notes)
-        assert plan == plan_evacuation(source, notes, TARGETS, loads, ENGINE)
-        assert not plan_evacuation(source, notes, (), loads, ENGINE)
+        plan = plan_evacuation(source, reports, TARGETS, loads, ENGINE)
+        assert sorted(m.request for m in plan) == sorted(n.request for n in reports)
+        Random(seed).shuffle(reports)
+        assert plan == plan_evacuation(source, reports, TARGETS, loads, ENGINE)
+        assert not plan_evacuation(source, reports, (), loads, ENGINE)
 
 
 @then("6 generations go to an even spread of targets, and 14 by the shortest copies")
 def check_spread(context):
     source = endpoint("source")
-    few = [note(number, 1_500) for number in range(6)]
+    few = [stream_report(number, 1_500) for number in range(6)]
     plan = plan_evacuation(source, few, TARGETS, {}, ENGINE)
     assert len({move.target.identity for move in plan}) == 6
-    many = [note(number, 1_500) for number in range(14)]
+    many = [stream_report(number, 1_500) for number in range(14)]
     plan = plan_evacuation(source, many, TARGETS, {}, ENGINE)
     remote = [move for move in plan if move.target.data_hall != "h0"]
     assert not remote
@@ -114,8 +114,8 @@
                 loads.forget_peers(now - 1)
                 newest = {p: kept for p, kept in newest.items() if kept[0] >= now - 1}
         for identity in IDENTITIES:
-            told = [r[identity] for _, r in newest.values() if identity in r]
-            assert loads.at(identity) == sum(told, NO_LOAD)
+            reported = [r[identity] for _, r in newest.values() if identity in r]
+            assert loads.at(identity) == sum(reported, NO_LOAD)
 
     check()
 
--- a/features/steps/large_fleet_steps.py
+++ b/features/steps/large_fleet_steps.py
@@ -29,7 +29,7 @@
 
 SEED = 68
 SERVICE = "model"
-SMALL = GenerationWork(GenerationSize(100, 100), LengthEstimate.exactly(50))
+SMALL_WORK = GenerationWork(GenerationSize(100, 100), LengthEstimate.exactly(50))
 
 
 @given(
@@ -53,7 +53,7 @@
 
 
 @given("{count:d} engines leave together every {seconds:g} s")
-def given_reclaims(context, count, seconds):
+def given_departures(context, count, seconds):
     context.settings = replace(
         context.settings, reclaim_every=seconds, reclaim_count=count
     )
@@ -73,26 +73,26 @@
     assert waits[int(0.9 * len(waits))] <= seconds, waits[int(0.9 * len(waits))]
 
 
-@then("at most {most:d} of 1000 generations are preempted")
-def check_preempted(context, most):
+@then("at most {maximum:d} of 1000 generations are preempted")
+def check_preempted(context, maximum):
     preempted = 1_000 * mean(s.preemptions > 0 for s in context.streams)
-    assert preempted <= most, preempted
+    assert preempted <= maximum, preempted
 
 
-@then("at most {most:d} of 1000 long generations are lost")
-def check_lost(context, most):
+@then("at most {maximum:d} of 1000 long generations are lost")
+def check_lost(context, maximum):
     long = [s for s in context.streams if s.work.size.max_output_tokens == LONG_MOST]
     lost = 1_000 * mean(s.is_lost for s in long)
-    assert lost <= most, lost
+    assert lost <= maximum, lost
 
 
 @then(
-    "chosen engines have on average at most {most:g} more generations than the least "
-    "loaded"
+    "chosen engines have on average at most {maximum:g} more generations than the "
+    "least loaded"
 )
-def check_excess(context, most):
+def check_placements(context, maximum):
     excess = mean(placing.excess for placing in context.fleet.placings)
-    assert excess <= most, excess
+    assert excess <= maximum, excess
 
 
 def directory_of(endpoints):
@@ -131,23 +131,23 @@
 
 
 @then(
-    "each endpoint is shared by {least:d} to {most:d} gateways, which get its load "
-    "updates"
+    "each endpoint is shared by {minimum:d} to {maximum:d} gateways, which get its "
+    "load updates"
 )
-def check_sharers(context, least, most):
-    teller, subsets = next(iter(context.subsets.items()))
+def check_sharers(context, minimum, maximum):
+    own_host, subsets = next(iter(context.subsets.items()))
     counts = set()
     for endpoint in context.endpoints:
-        having = {
+        sharers = {
             own for own, ids in context.chosen.items() if endpoint.identity in ids
         }
-        assert set(subsets.sharing_peers(endpoint)) == having - {teller}
-        counts.add(len(having))
-    assert (min(counts), max(counts)) == (least, most), counts
+        assert set(subsets.sharing_peers(endpoint)) == sharers - {own_host}
+        counts.add(len(sharers))
+    assert (min(counts), max(counts)) == (minimum, maximum), counts
 
 
 @then("a generation is placed at an endpoint outside the subset, if there is one")
-def check_fallback(context):
+def check_placement_outside_subset(context):
     directory, loads = directory_of(fleet_of(40)), FleetLoad()
     subsets = EndpointSubsets("10.0.0.1", directory)
     subsets.set_peers(host(number) for number in range(60))
@@ -156,7 +156,7 @@
     own = {endpoint.identity for endpoint in subsets.own(SERVICE)}
 
     def placed(**options):
-        choice = placement.for_generation(SERVICE, SMALL, ENGINE, 0.0, **options)
+        choice = placement.for_generation(SERVICE, SMALL_WORK, ENGINE, 0.0, **options)
         return choice.endpoint.identity
 
     assert placed() in own
@@ -170,27 +170,27 @@
     assert placed() not in own
 
 
-def note(number, requests, incarnation="life"):
+def load_update(number, requests, incarnation="life"):
     return LoadUpdate("peer", incarnation, number, "i-0", EndpointLoad(requests))
 
 
 @then("a load update counts until its gateway's next report, and not after a newer one")
-def check_notes(context):
+def check_load_updates(context):
     table, loads = PeerTable("self", (), 0.0), FleetLoad()
 
-    def take_note(*arguments):
-        told = LoadUpdate.decode(note(*arguments).encode())
-        if table.is_newer(told):
-            loads.apply_update(told.host, told.endpoint, told.load)
+    def apply_update(*arguments):
+        update = LoadUpdate.decode(load_update(*arguments).encode())
+        if table.is_newer(update):
+            loads.apply_update(update.host, update.endpoint, update.load)
         return loads.at("i-0").requests
 
-    assert take_note(1, 5) == 0, "an update from an unknown gateway"
+    assert apply_update(1, 5) == 0, "an update from an unknown gateway"
     table.apply_report(peer_report("peer", 2), 0.0)
     loads.apply_report("peer", {"i-0": EndpointLoad(1), "i-1": EndpointLoad(1)}, 0.0)
-    assert take_note(3, 2) == 2
-    assert take_note(3, 2) == 2, "a repeated update"
-    assert take_note(1, 7) == 2, "an update from before the report"
-    assert take_note(9, 7, "another life") == 2
+    assert apply_update(3, 2) == 2
+    assert apply_update(3, 2) == 2, "a repeated update"
+    assert apply_update(1, 7) == 2, "an update from before the report"
+    assert apply_update(9, 7, "another life") == 2
     assert loads.at("i-1").requests == 1
     loads.apply_report("peer", {"i-0": EndpointLoad(4)}, 1.0)
     assert loads.at("i-0").requests == 4
--- a/features/steps/output_length_steps.py
+++ b/features/steps/output_length_steps.py
@@ -14,11 +14,11 @@
 from piershore.core.fleet.length_estimate import LengthEstimate
 from piershore.core.fleet.output_lengths import OutputLengths
 
-MOST = 1_780
-GUESS_SPREAD = 1.14
+MAX_TOKENS = 1_780
+HINT_SPREAD = 1.14
 ROUTE = "review"
-EVERY_SECONDS = 0.5
-MADE = 300
+INTERVAL_SECONDS = 0.5
+GENERATED_TOKENS = 300
 
 
 @dataclass
@@ -33,11 +33,11 @@
 
     def draw(self):
         """Return the size and the length of one more generation."""
-        self.now += EVERY_SECONDS
+        self.now += INTERVAL_SECONDS
         length = self.median * self.random.lognormvariate(0, self.spread)
-        length = max(1, min(MOST, round(length)))
-        guess = max(1, round(length * self.random.lognormvariate(0, GUESS_SPREAD)))
-        return GenerationSize(3_000, MOST, guess), length
+        length = max(1, min(MAX_TOKENS, round(length)))
+        hint = max(1, round(length * self.random.lognormvariate(0, HINT_SPREAD)))
+        return GenerationSize(3_000, MAX_TOKENS, hint), length
 
     def end(self, count):
         """Record the end of `count` generations."""
@@ -51,7 +51,8 @@
 
 
 @given(
-    "outputs with median {median:g} and spread {spread:g}, of which {count:d} have ended"
+    "outputs with median {median:g} and spread {spread:g}, of which {count:d} have "
+    "ended"
 )
 def given_outputs(context, median, spread, count):
     context.outputs = Outputs(median, spread, OutputLengths(), Random(5))
@@ -59,24 +60,24 @@
 
 
 @when("outputs with median {median:g} and spread {spread:g} have arrived for 8 minutes")
-def shift(context, median, spread):
+def change_workload(context, median, spread):
     context.outputs.median, context.outputs.spread = median, spread
-    context.outputs.end(int(480 / EVERY_SECONDS))
+    context.outputs.end(int(480 / INTERVAL_SECONDS))
 
 
 @when("a gateway starts and receives a peer's report of them")
 def start_gateway(context):
     outputs = context.outputs
-    told = outputs.lengths.report(outputs.now)
+    report = outputs.lengths.report(outputs.now)
     outputs.lengths = OutputLengths()
-    outputs.lengths.apply_report("peer", told, outputs.now)
+    outputs.lengths.apply_report("peer", report, outputs.now)
 
 
 @then("400 more have 0.85 to 1.15 times the tokens expected of them")
 def check_sum(context):
     drawn = [context.outputs.draw() for _ in range(400)]
     # Turn the clock back so that a peer's report doesn't expire; these aren't recorded.
-    context.outputs.now -= 400 * EVERY_SECONDS
+    context.outputs.now -= 400 * INTERVAL_SECONDS
     context.drawn = drawn
     expected = sum(context.outputs.estimate(s).mean_remaining(0) for s, _ in drawn)
     ratio = sum(length for _, length in drawn) / expected
@@ -84,16 +85,16 @@
 
 
 @then("after 300 tokens they have 0.8 to 1.2 times the tokens expected of the rest")
-def check_rest(context):
-    longer = [(s, length) for s, length in context.drawn if length > MADE]
+def check_remaining_sum(context):
+    longer = [(s, length) for s, length in context.drawn if length > GENERATED_TOKENS]
     estimates = (context.outputs.estimate(size) for size, _ in longer)
-    expected = sum(estimate.mean_remaining(MADE) for estimate in estimates)
-    ratio = sum(length - MADE for _, length in longer) / expected
+    expected = sum(estimate.mean_remaining(GENERATED_TOKENS) for estimate in estimates)
+    ratio = sum(length - GENERATED_TOKENS for _, length in longer) / expected
     assert 0.8 < ratio < 1.2, ratio
 
 
 @then("the remaining length of an output is its conditional mean, at any length")
-def check_mean(context):
+def check_remaining_mean(context):
     @checked(
         st.floats(1, 5_000),
         st.floats(0.05, 2.0),
@@ -101,31 +102,31 @@
         st.integers(1, 4_000),
         examples=200,
     )
-    def check(median, spread, made, most):
-        estimate = LengthEstimate(median, spread, most)
-        rest = estimate.mean_remaining(made)
-        assert 0 <= rest <= max(0, most - made) + 1e-6
+    def check(median, spread, generated, maximum):
+        estimate = LengthEstimate(median, spread, maximum)
+        remaining = estimate.mean_remaining(generated)
+        assert 0 <= remaining <= max(0, maximum - generated) + 1e-6
         random = Random(1)
         drawn = (
-            min(most, exp(random.gauss(log(median), spread))) for _ in range(3_000)
+            min(maximum, exp(random.gauss(log(median), spread))) for _ in range(3_000)
         )
-        longer = [length - made for length in drawn if length > made]
+        longer = [length - generated for length in drawn if length > generated]
         if len(longer) < 500:
             return
         mean = sum(longer) / len(longer)
         deviation = (sum((x - mean) ** 2 for x in longer) / len(longer)) ** 0.5
-        assert abs(rest - mean) <= 5 * deviation / len(longer) ** 0.5 + 0.5
+        assert abs(remaining - mean) <= 5 * deviation / len(longer) ** 0.5 + 0.5
 
 
 @then("the more accurate hints were, the more an estimate follows them")
-def check_guesses(context):
+def check_hints(context):
     medians = []
-    for guess_spread in (0.1, 0.6, 2.0):
+    for hint_spread in (0.1, 0.6, 2.0):
         lengths, random = OutputLengths(), Random(2)
         for _ in range(100):
             length = round(400 * random.lognormvariate(0, 0.9))
-            guess = round(length * random.lognormvariate(0, guess_spread))
-            size = GenerationSize(100, 20_000, max(1, guess))
+            hint = round(length * random.lognormvariate(0, hint_spread))
+            size = GenerationSize(100, 20_000, max(1, hint))
             lengths.record(ROUTE, size, length, 0.0)
         size = GenerationSize(100, 20_000, 4_000)
         medians.append(lengths.estimate(ROUTE, size, 0.0).median)
