--- a/src/piershore/core/fleet/length_estimate.py
+++ b/src/piershore/core/fleet/length_estimate.py
@@ -8,7 +8,8 @@
 from math import erfc, exp, log, sqrt
 
 NEGLIGIBLE_PROBABILITY = 1e-4
-"""Below this probability of its length, a generation is longer than ever expected."""
+"""If reaching the current length was less likely than this, the estimate says nothing
+about the remaining output."""
 MIN_SPREAD = 0.01
 """A distribution with less spread is treated as a known length."""
 
@@ -30,7 +31,7 @@
         return cls(tokens, 0.0, tokens)
 
     def mean_remaining(self, generated: int) -> float:
-        """Return the mean remaining output, given that `made` tokens were generated."""
+        """Return the mean remaining output, given the tokens generated so far."""
         if generated >= self.maximum:
             return 0.0
         if self.spread < MIN_SPREAD:
@@ -79,7 +80,7 @@
 
     @abstractmethod
     def remaining(self, estimate: LengthEstimate, generated: int) -> float:
-        """Return the expected remaining tokens after `made`."""
+        """Return the expected remaining tokens after `generated`."""
 
 
 LENGTH_EXPECTATIONS: dict[str, type[LengthExpectation]] = {}
--- a/src/piershore/core/fleet/memory_wait.py
+++ b/src/piershore/core/fleet/memory_wait.py
@@ -31,7 +31,7 @@
 
 
 def max_memory_wait_seconds(target_latency: float) -> float:
-    """Return how long a generation may wait for memory, given its target in seconds."""
+    """Return the seconds that a generation may wait for memory."""
     return MAX_WAIT_SHARE * target_latency
 
 
--- a/src/piershore/core/fleet/output_lengths.py
+++ b/src/piershore/core/fleet/output_lengths.py
@@ -26,7 +26,7 @@
 """Weight of these priors, in observed lengths."""
 DECAY_SECONDS = 180.0
 """Time in which the weight of an observed length decays by a factor of e: three minutes
-of a busy service have about a hundred generations, and workloads change over hours."""
+of a busy service have some hundred generations, and workloads change over hours."""
 PEER_REPORT_EXPIRY_SECONDS = 30.0
 """How long a peer's report counts. Its lengths stay valid for a while after the peer
 departed, since it served the same workload."""
@@ -132,7 +132,7 @@
     def route_estimate(
         self, route: str, max_tokens: int, now: float
     ) -> RouteLengthEstimate:
-        """Return the estimate of a route whose outputs have at most `most` tokens."""
+        """Return the estimate of a route whose outputs have at most `max_tokens`."""
         observed = self._all_sums(route, now)
         prior_log_median = log(max(1.0, PRIOR_MEDIAN_SHARE * max(1, max_tokens)))
         count = PRIOR_WEIGHT + observed.count
--- a/src/piershore/core/fleet/peer_report.py
+++ b/src/piershore/core/fleet/peer_report.py
@@ -25,7 +25,7 @@
 AGE_DIGITS = 3
 """Decimal places of the ages of answers; enough to order the answers."""
 SUM_DIGITS = 2
-"""Decimal places of sums of logarithms; the error of spreads is some hundredths."""
+"""Decimal places of sums of logarithms; the error of spreads is a few hundredths."""
 MAX_HALVINGS = 3
 """A report that is too large keeps only the busiest endpoints: half, a quarter or an
 eighth of them."""
@@ -56,16 +56,17 @@
 class PeerReport:
     """The state of one gateway; `incarnation` differs after each start of its process.
 
-    `store_sign` describes the store's last answer to the gateway, `link_megabits` the
-    bandwidth of its link, and `fingerprint` identifies the list of endpoints that it
-    knows. `members` are the hosts of gateways that it received reports from recently,
-    `leaving` its generations at endpoints that leave, and `departed` the endpoints that
-    departed recently. `outcomes` counts its attempts at endpoints where any gateway
-    observes failures. `cold` has the seconds for which endpoints stay cold, as observed
-    by the gateway itself, `drained` the data halls that get no new work, or None if the
-    gateway doesn't know. `lengths` has the output lengths of generations that ended at
-    the gateway, by route. `rate_limits` are the limits that endpoints recently
-    advertised in answers to it. Only some reports include `members` and `lengths`.
+    `store_liveness` describes the store's last answer to the gateway, `link_megabits`
+    the bandwidth of its link, and `fingerprint` identifies the list of endpoints that
+    it knows. `members` are the hosts of gateways that it received reports from
+    recently, `leaving` its generations at endpoints that leave, and `departed` the
+    endpoints that departed recently. `outcomes` counts its attempts at endpoints where
+    any gateway observes failures. `cold` has the seconds for which endpoints stay cold,
+    as observed by the gateway itself, `drained` the data halls that get no new work, or
+    None if the gateway doesn't know. `lengths` has the output lengths of generations
+    that ended at the gateway, by route. `rate_limits` are the limits that endpoints
+    recently advertised in answers to it. Only some reports include `members` and
+    `lengths`.
     """
 
     host: str
--- a/src/piershore/core/fleet/placement_policy.py
+++ b/src/piershore/core/fleet/placement_policy.py
@@ -13,7 +13,7 @@
 
 PENDING_PROMPT_COST_TOKENS = 6_000.0
 """Pending prompt tokens that cost as much as a full endpoint: 0.4 s of prompt
-processing, a quarter of the shortest target latency of a first token in use."""
+processing, a quarter of the shortest first-token target latency observed."""
 BATCH_COST = 0.5
 """Cost of a full batch relative to full memory: a batch only slows tokens down."""
 POWER_OF_TWO_SAMPLE_SIZE = 2
--- a/src/piershore/core/fleet/report_timing.py
+++ b/src/piershore/core/fleet/report_timing.py
@@ -25,9 +25,9 @@
 """Reports that one gateway sends to all peers because of failures: without a bound,
 each of many simultaneous failures would cost a datagram to every other gateway."""
 EXPECTED_FORWARDERS = 12.0
-"""Mean number of gateways that forward a departure they received: a few senders make up
-for lost reports. If all gateways forwarded it, each departure would cost a datagram for
-every pair of gateways."""
+"""Mean number of gateways that forward a departure or crash report they received: a few
+senders make up for lost reports. If all gateways forwarded it, each departure would
+cost a datagram for every pair of gateways."""
 
 
 def report_interval(peers: int) -> float:
@@ -41,7 +41,10 @@
 
 
 def should_forward(peers: int, draw: float) -> bool:
-    """Return whether to forward a departure; `draw` is random, from 0 to below 1."""
+    """Return whether to forward a received departure or crash report.
+
+    `draw` is a random number, at least 0 and below 1.
+    """
     return draw * peers < EXPECTED_FORWARDERS
 
 
--- a/src/piershore/core/routing/aperture.py
+++ b/src/piershore/core/routing/aperture.py
@@ -6,7 +6,7 @@
 
 from piershore.core.configuration.relays import rendezvous_order
 
-REMOTE_SHARE = 4
+ENDPOINTS_PER_REMOTE_ENDPOINT = 4
 
 
 def choose_aperture(
@@ -14,14 +14,15 @@
 ) -> frozenset[str]:
     """Return up to `size` endpoints, most of them in the gateway's own data hall.
 
-    `halls` maps each endpoint of the service to its data hall. One in `REMOTE_SHARE`
-    endpoints is in another data hall, so that the gateway can still send requests when
-    its own is overloaded or lost. Each gateway ranks the endpoints by its own hash, so
-    that links spread evenly and few change when an endpoint is added or removed.
+    `data_halls` maps each endpoint of the service to its data hall. One in
+    `ENDPOINTS_PER_REMOTE_ENDPOINT` is in another data hall, so that the gateway can
+    still send requests when its own is overloaded or lost. Each gateway ranks the
+    endpoints by its own hash, so that links spread evenly and few change when an
+    endpoint is added or removed.
     """
     ranked = rendezvous_order(gateway, data_halls)
     local = [name for name in ranked if data_halls[name] == data_hall]
     remote = [name for name in ranked if data_halls[name] != data_hall]
-    remote_count = min(len(remote), size // REMOTE_SHARE)
+    remote_count = min(len(remote), size // ENDPOINTS_PER_REMOTE_ENDPOINT)
     chosen = local[: size - remote_count]
     return frozenset(chosen + remote[: size - len(chosen)])
--- a/src/piershore/core/routing/endpoint_state.py
+++ b/src/piershore/core/routing/endpoint_state.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """The load that an agent last reported."""
+    """The load in an agent's last report, as of the time it was sent."""
 
     running: int = 0
     queued: int = 0
