--- a/src/piershore/core/fleet/placement_policy.py
+++ b/src/piershore/core/fleet/placement_policy.py
@@ -13,7 +13,7 @@
 
 PENDING_PROMPT_COST_TOKENS = 6_000.0
 """Pending prompt tokens that cost as much as a full endpoint: 0.4 s of prompt
-processing, a quarter of the shortest target latency of a first token in use."""
+processing, a quarter of the shortest first-token target latency observed."""
 BATCH_COST = 0.5
 """Cost of a full batch relative to full memory: a batch only slows tokens down."""
 POWER_OF_TWO_SAMPLE_SIZE = 2
@@ -57,10 +57,10 @@
         self, load: EndpointLoad, work: GenerationWork, engine: EngineSpec
     ) -> float:
         """Return how full the engine would become."""
-        wanted = work.held_tokens + work.remaining_tokens
-        memory = (load.projected_tokens + wanted) / engine.memory_tokens
-        unread = load.pending_prompt_tokens / PENDING_PROMPT_COST_TOKENS
-        return memory + BATCH_COST * _batch_share(load, engine) + unread
+        required = work.held_tokens + work.remaining_tokens
+        memory = (load.projected_tokens + required) / engine.memory_tokens
+        pending_prompts = load.pending_prompt_tokens / PENDING_PROMPT_COST_TOKENS
+        return memory + BATCH_COST * _batch_share(load, engine) + pending_prompts
 
 
 @placement_policy("least_in_flight")
