--- a/features/ingress_core.feature
+++ b/features/ingress_core.feature
@@ -2,37 +2,37 @@
 
   @not_run_means_not_run @at_most_once
   Scenario: attempts that may follow an outcome
-    Then no sequence of outcomes leads to an untrue 503 or a second run of a once request
+    Then no sequence of outcomes leads to a false 503 or a second run of a once request
 
   @accepted_config_in_force
   Scenario: configuration versions in any order
-    Then the version in force never goes back
+    Then the version in force never decreases
 
   @leaving_gets_no_new_work
   Scenario: changes of endpoints in any order
-    Then an endpoint that said it leaves is never given again
+    Then an endpoint that announced that it leaves is never listed again
 
   @leaving_gets_no_new_work
   Scenario: a stopped run that its target refuses
-    Then it may go back to its source for 1 second after the notice, and no longer
+    Then it may continue at its source for 1 second after the notice, and no longer
 
   @leaving_gets_no_new_work
   Scenario: half of a service's entries are removed at once
-    Then what is doubted is dropped before 2 seconds have passed, sweeps included
+    Then a possibly expired entry is dropped within 2 seconds, sweep interval included
 
   @tokens_once_in_order
   Scenario: a stream in any chunks, from any number of endpoints
     Then each event is delivered once and in order, whatever the chunks
 
   Scenario: gateways that watch the store
-    Then in any fleet 2 gateways of each data hall watch, and all when none is heard
-    And those with wide links watch, and others only where there are too few of them
+    Then in any fleet 2 gateways of each data hall watch, and all if no peer reads the store
+    And gateways with wide links watch, and others only if there are too few of those
 
   Scenario: evacuation plan for an endpoint that leaves
-    Then each generation is planned once, the same from any order of notes
+    Then each generation is planned once, and the order of reports changes nothing
 
   Scenario: evacuation plans within the time of the notice
-    Then 6 generations go to an even spread of targets, and 14 by the shortest copies
+    Then 6 generations go to 6 targets, and 14 in time to those of the same data hall
 
   Scenario: retries in any order
     Then no window has more retries than the budget allows
@@ -54,16 +54,16 @@
     Then no write blocks, memory is bounded, and omitted lines are counted
 
   Scenario: an endpoint that fails several times in a row
-    Then it is ejected for a while that doubles, and back after a success
+    Then its ejection time doubles each time, until a success ends the ejections
 
   Scenario: peers' loads in any order of reports
-    Then the load of an endpoint is the sum of the newest reports that count
+    Then the load of an endpoint is the sum of the latest reports that still count
 
   Scenario: a choice in a large fleet
-    Then a choice among 80 endpoints with 100 peers adds up no peer's report
+    Then a choice among 80 endpoints with 100 peers sums up no report
 
   Scenario Outline: a healthy fleet of <gateways> gateways
-    Then with <gateways> gateways each counts all others as living, at any time
+    Then with <gateways> gateways each considers all others live at any time
 
     Examples:
       | gateways |
@@ -73,13 +73,13 @@
       | 300      |
 
   Scenario: placement policies by name
-    Then each policy of the setting ranks engines by what its name says
+    Then each policy ranks engines by the criterion that its name states
 
   Scenario: choices and plans in a fleet of 3000 endpoints
-    Then a choice looks at 64 of them, a plan at 48, the same ones at all gateways
+    Then a choice considers 64 of them, a plan 48, and all gateways the same ones
 
   Scenario: the fingerprint of a list of endpoints
-    Then it is the same from any order, another after each change, and worked out once
+    Then it is independent of the order, differs after each change, and is computed once
 
   Scenario Outline: detection of a store that answers no gateway: <ages>
     Then with the gateways' last answers <ages> s ago the store <state>
@@ -93,13 +93,13 @@
       | 2.4 overdue             | seems silent         |
 
   Scenario: gateways report the store's last answer to each other
-    Then a report tells of the store's last answer, also if there was none
+    Then a report includes the age of the store's last answer, also if there was none
 
   @not_run_means_not_run
   Scenario Outline: retry delay of a caller that a stopping gateway refuses
-    Given gateways that were told to stop <ago> s ago, with a grace of 8 s
-    When others <others>
-    Then a refused caller is told to come back in <seconds> s
+    Given gateways that were told to stop <ago> s ago, with a grace period of 8 s
+    When the other gateways <others>
+    Then a refused caller is told to retry after <seconds> s
 
     Examples:
       | ago      | others  | seconds |
@@ -121,7 +121,7 @@
       | 20000  | 50 parts, 2 of them 0.21 s late      | lekki |
 
   Scenario Outline: outcomes at an endpoint observed by several gateways: <outcomes>
-    Given the outcomes "<outcomes>" at an endpoint, of this gateway and its peers
+    Given the outcomes "<outcomes>" at an endpoint, observed by this gateway and its peers
     Then they <verdict> that the endpoint fails
 
     Examples:
@@ -134,7 +134,7 @@
       | 6/1, 0/9           | do not show |
 
   Scenario: outcomes that are reported and expire
-    Then successes are told only where somebody sees failures, and for 0.7 s
+    Then successes are reported only if a gateway observes failures, and for 0.7 s
 
   Scenario: writes of the log to a pipe have complete lines
     When 100 lines of 300 bytes are flushed together
--- a/features/steps/ingress_belief_steps.py
+++ b/features/steps/ingress_belief_steps.py
@@ -41,9 +41,7 @@
 from piershore.ingress.followers.endpoint_follower import SWEEP_SECONDS
 
 
-@then(
-    "no sequence of outcomes leads to an untrue 503 or a second run of a once request"
-)
+@then("no sequence of outcomes leads to a false 503 or a second run of a once request")
 def check_outcomes(context):
     @checked(
         st.lists(st.sampled_from(AttemptOutcome), min_size=1, max_size=6),
@@ -62,7 +60,7 @@
             assert (final_status(tuple(made)) == 503) == (not maybe_run)
 
 
-@then("the version in force never goes back")
+@then("the version in force never decreases")
 def check_versions(context):
     @checked(st.lists(st.integers(1, 50)))
     def check(versions):
@@ -75,7 +73,7 @@
             assert current.version == highest
 
 
-@then("an endpoint that said it leaves is never given again")
+@then("an endpoint that announced that it leaves is never listed again")
 def check_directory(context):
     @checked(st.integers(0, 10_000))
     def check(seed):
@@ -110,7 +108,7 @@
             assert not left & {e.identity for e in directory.of_service("s")}
 
 
-@then("what is doubted is dropped before 2 seconds have passed, sweeps included")
+@then("a possibly expired entry is dropped within 2 seconds, sweep interval included")
 def check_doubt(context):
     directory = EndpointDirectory()
     for number in range(4):
@@ -121,7 +119,9 @@
     assert directory.get("i-0") is None
 
 
-@then("in any fleet 2 gateways of each data hall watch, and all when none is heard")
+@then(
+    "in any fleet 2 gateways of each data hall watch, and all if no peer reads the store"
+)
 def check_watchers(context):
     @checked(st.lists(st.integers(0, 3), min_size=1, max_size=40))
     def check(halls):
@@ -144,7 +144,7 @@
     return [g for g in fleet if should_watch_store(g, [p for p in fleet if p is not g])]
 
 
-@then("those with wide links watch, and others only where there are too few of them")
+@then("gateways with wide links watch, and others only if there are too few of those")
 def check_wide_watchers(context):
     @checked(st.lists(st.tuples(st.integers(0, 2), st.booleans()), min_size=3))
     def check(gateways):
@@ -179,7 +179,7 @@
             assert len(spent) <= limits.ratio * len(recent) + limits.slack
 
 
-@then("it is ejected for a while that doubles, and back after a success")
+@then("its ejection time doubles each time, until a success ends the ejections")
 def check_ejection(context):
     health = EndpointHealth()
     now, lengths = 0.0, []
@@ -199,7 +199,7 @@
 """Share of the datagrams that a busy network loses."""
 
 
-@then("with {gateways:d} gateways each counts all others as living, at any time")
+@then("with {gateways:d} gateways each considers all others live at any time")
 def check_all_living(context, gateways):
     hosts = [f"10.0.0.{number}" for number in range(gateways)]
     table = PeerTable(hosts[0], hosts, 0.0)
@@ -236,7 +236,7 @@
     assert abs(passed / rounds - wanted) < 1, passed
 
 
-@then("it is the same from any order, another after each change, and worked out once")
+@then("it is independent of the order, differs after each change, and is computed once")
 def check_fingerprint(context):
     endpoints = list(fleet_of(5))
     one, other = EndpointDirectory(), EndpointDirectory()
@@ -270,7 +270,7 @@
     assert is_store_silent(store_signs(ages)) is expected
 
 
-@then("a report tells of the store's last answer, also if there was none")
+@then("a report includes the age of the store's last answer, also if there was none")
 def check_sign_told(context):
     for told, read in (
         ((0.5, True), (0.5, True)),
@@ -282,25 +282,29 @@
         assert PeerReport.decode(report.encode()).store_liveness == StoreLiveness(*read)
 
 
-@given("gateways that were told to stop {ago} s ago, with a grace of {grace:g} s")
+@given(
+    "gateways that were told to stop {ago} s ago, with a grace period of {grace:g} s"
+)
 def given_stopping(context, ago, grace):
     context.stopped = [-float(word) for word in ago.split(",")]
     context.grace = grace
 
 
-@when("others {others}")
+@when("the other gateways {others}")
 def given_others(context, others):
     context.seconds = retry_after_seconds(
         context.stopped, context.grace, 0.0, others_stay=others == "stay"
     )
 
 
-@then("a refused caller is told to come back in {seconds:g} s")
+@then("a refused caller is told to retry after {seconds:g} s")
 def check_come_back(context, seconds):
     assert abs(context.seconds - seconds) < 1e-6, context.seconds
 
 
-@given('the outcomes "{outcomes}" at an endpoint, of this gateway and its peers')
+@given(
+    'the outcomes "{outcomes}" at an endpoint, observed by this gateway and its peers'
+)
 def given_outcomes(context, outcomes):
     context.shared = SharedFailures()
     for number, word in enumerate(outcomes.split(", ")):
@@ -318,7 +322,7 @@
     assert context.shared.is_failing("i-0", 0.1) is (verdict == "show")
 
 
-@then("successes are told only where somebody sees failures, and for 0.7 s")
+@then("successes are reported only if a gateway observes failures, and for 0.7 s")
 def check_told(context):
     shared = SharedFailures()
     shared.record("i-0", 0.0, failed=False)
--- a/features/steps/ingress_placement_steps.py
+++ b/features/steps/ingress_placement_steps.py
@@ -33,7 +33,7 @@
 from piershore.ingress.live_stream import Handover
 
 
-@then("it may go back to its source for 1 second after the notice, and no longer")
+@then("it may continue at its source for 1 second after the notice, and no longer")
 def check_places(context):
     async def check():
         source, target = endpoint("source"), endpoint("target")
@@ -51,7 +51,7 @@
 TARGETS = tuple(endpoint(f"t{n}", data_hall=f"h{n % 3}") for n in range(6))
 
 
-@then("each generation is planned once, the same from any order of notes")
+@then("each generation is planned once, and the order of reports changes nothing")
 def check_plan(context):
     @checked(st.lists(st.integers(100, 9_000), max_size=12), st.integers(0, 99))
     def check(sizes, seed):
@@ -65,7 +65,7 @@
         assert not plan_evacuation(source, notes, (), loads, ENGINE)
 
 
-@then("6 generations go to an even spread of targets, and 14 by the shortest copies")
+@then("6 generations go to 6 targets, and 14 in time to those of the same data hall")
 def check_spread(context):
     source = endpoint("source")
     few = [note(number, 1_500) for number in range(6)]
@@ -94,7 +94,7 @@
 HISTORY = st.lists(st.tuples(st.sampled_from("abc"), REPORTS, st.booleans()))
 
 
-@then("the load of an endpoint is the sum of the newest reports that count")
+@then("the load of an endpoint is the sum of the latest reports that still count")
 def check_sums(context):
     @given_data(HISTORY)
     @example(
@@ -129,9 +129,7 @@
     __getitem__ = __contains__ = get
 
 
-@then(
-    "a choice among {endpoints:d} endpoints with {peers:d} peers adds up no peer's report"
-)
+@then("a choice among {endpoints:d} endpoints with {peers:d} peers sums up no report")
 def check_choice_cost(context, endpoints, peers):
     directory, loads = EndpointDirectory(), FleetLoad()
     for listed in fleet_of(endpoints):
@@ -162,7 +160,7 @@
 }
 
 
-@then("each policy of the setting ranks engines by what its name says")
+@then("each policy ranks engines by the criterion that its name states")
 def check_policies(context):
     work = GenerationWork(GenerationSize(100, 100), LengthEstimate.exactly(50))
     assert PLACEMENT_POLICIES.keys() == POLICY_PREFERS.keys()
@@ -189,7 +187,7 @@
         return super().at(identity)
 
 
-@then("a choice looks at 64 of them, a plan at 48, the same ones at all gateways")
+@then("a choice considers 64 of them, a plan 48, and all gateways the same ones")
 def check_large_fleet(context):
     endpoints = list(fleet_of(3_000))
     directory, loads = EndpointDirectory(), CountedLoads()
