--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -231,9 +231,9 @@
         "ingress_calls",
     ),
     Mutant(
-        "a caller's leaving isn't seen",
+        "a closed connection of a caller isn't detected",
         "ingress/callers/caller_service.py",
-        "            nursery.start_soon(self._cancel_when_gone, exchange)\n",
+        "            nursery.start_soon(self._cancel_when_closed, exchange)\n",
         "",
         "ingress_calls",
     ),
@@ -467,7 +467,7 @@
         "endpoint_rate_limits",
     ),
     Mutant(
-        "an attempt doesn't ask before it sends",
+        "an attempt doesn't check the rate limit before it sends",
         "ingress/attempts/endpoint_attempt.py",
         "        self._check_limit()\n",
         "",
--- a/features/steps/ingress_call_steps.py
+++ b/features/steps/ingress_call_steps.py
@@ -16,7 +16,7 @@
 from piershore.core.fleet.endpoint import Address
 from piershore.http1.message import RequestHead
 
-STILL_SECONDS = 0.2
+SUSPENSION_SECONDS = 0.2
 
 
 @given('desk endpoints with the faults "{faults}"')
@@ -71,7 +71,7 @@
 
 
 @then("the headers and the body of the answer match its status")
-def check_true(context):
+def check_consistent(context):
     reply = context.reply
     if reply.status == 200:
         assert reply.headers["response-seal"] == "seal.abc"
@@ -90,7 +90,7 @@
 
 
 @when('a caller sends {count:d} "{kind}" requests one after the other')
-def send_many(context, count, kind):
+def send_repeatedly(context, count, kind):
     async def script(world):
         context.replies = [
             await world.call(kind, request=f"r{number}") for number in range(count)
@@ -111,7 +111,7 @@
     assert good >= len(context.replies) - 1
 
 
-def raw(path="/once/x", host=HOST, *lines, body=b""):
+def raw_request(path="/once/x", host=HOST, *lines, body=b""):
     head = [f"POST {path} HTTP/1.1", f"Host: {host}", "Attempt-Id: abc"]
     head += lines or ("Authorization: Token key-1", f"Content-Length: {len(body)}")
     return "\r\n".join([*head, "", ""]).encode() + body
@@ -121,29 +121,35 @@
 
 
 FAULTY = {
-    "two lengths": raw(
+    "two lengths": raw_request(
         "/once/x", HOST, KEYED, "Content-Length: 3", "Transfer-Encoding: chunked"
     )
     + b"0\r\n\r\n",
     "no request": b"this is no request\r\n\r\n",
-    "bad deadline": raw(
+    "bad deadline": raw_request(
         "/once/x", HOST, KEYED, "Content-Length: 0", "Deadline-Ms: soon"
     ),
-    "bad token counts": raw(
+    "bad token counts": raw_request(
         "/once/x", HOST, KEYED, "Content-Length: 0", "Token-Usage: many"
     ),
-    "no time left": raw("/once/x", HOST, KEYED, "Content-Length: 0", "Deadline-Ms: 0"),
-    "huge head": raw("/once/x", HOST, KEYED, "X: " + "x" * 9_000),
-    "huge body": raw("/once/x", HOST, KEYED, "Content-Length: 200000"),
-    "huge chunked body": raw("/once/x", HOST, KEYED, "Transfer-Encoding: chunked")
+    "no time left": raw_request(
+        "/once/x", HOST, KEYED, "Content-Length: 0", "Deadline-Ms: 0"
+    ),
+    "huge head": raw_request("/once/x", HOST, KEYED, "X: " + "x" * 9_000),
+    "huge body": raw_request("/once/x", HOST, KEYED, "Content-Length: 200000"),
+    "huge chunked body": raw_request(
+        "/once/x", HOST, KEYED, "Transfer-Encoding: chunked"
+    )
     + b"1ffff\r\n"
     + b"x" * 0x1FFFF
     + b"\r\n0\r\n\r\n",
     "slow head": b"POST /once/x HTTP/1.1\r\nHost: ",
-    "unknown host": raw("/once/x", "other.example"),
-    "unknown path": raw("/none/x"),
-    "unknown key": raw("/once/x", HOST, "Authorization: Token no", "Content-Length: 0"),
-    "no key": raw("/once/x", HOST, "Content-Length: 0"),
+    "unknown host": raw_request("/once/x", "other.example"),
+    "unknown path": raw_request("/none/x"),
+    "unknown key": raw_request(
+        "/once/x", HOST, "Authorization: Token no", "Content-Length: 0"
+    ),
+    "no key": raw_request("/once/x", HOST, "Content-Length: 0"),
 }
 
 
@@ -159,17 +165,17 @@
 
 
 @when('a caller sends a "{kind}" request and the process is suspended')
-def stand_still(context, kind):
+def suspend_process(context, kind):
     async def script(world):
         _, daemon = world.gateways[0]
         dialect = daemon._state.dialect
         read_request = dialect.read_request
 
-        def read_late(head):
-            time.sleep(STILL_SECONDS)
+        def read_while_suspended(head):
+            time.sleep(SUSPENSION_SECONDS)
             return read_request(head)
 
-        dialect.read_request = read_late
+        dialect.read_request = read_while_suspended
         headers = [("deadline-ms", "100")]
         context.reply = await world.call(kind, *headers, request="abc", size="100,40")
 
@@ -252,7 +258,7 @@
 
 
 @when("two desk endpoints are replaced by others at the same addresses")
-def replace_endpoint(context):
+def replace_endpoints(context):
     async def script(world):
         for endpoint in world.endpoints[:2]:
             endpoint.identity = f"{endpoint.identity}-new"
@@ -262,13 +268,13 @@
 
 
 @then('a "once" request runs once, at the third endpoint')
-def check_other(context):
+def check_third_endpoint(context):
     assert context.reply.status == 200
     assert [e.runs["abc"] for e in context.ingress.endpoints[:3]] == [0, 0, 1]
 
 
 @when("a caller closes its connection after {seconds:f} seconds")
-def leave_midway(context, seconds):
+def close_early(context, seconds):
     async def script(world):
         with trio.move_on_after(seconds):
             await world.call("once", request="abc")
@@ -286,11 +292,11 @@
 
 
 @when('a caller sends a "{kind}" request and the failure rates are read')
-def send_and_judge(context, kind):
+def send_and_read_rates(context, kind):
     async def script(world):
         await world.call(kind, request="abc")
-        _, served = world.gateways[0]
-        rates = [served._state.health.failure_rate(e.identity) for e in world.endpoints]
+        _, daemon = world.gateways[0]
+        rates = [daemon._state.health.failure_rate(e.identity) for e in world.endpoints]
         context.failing = sum(rate > 0 for rate in rates)
 
     context.ingress.run(script)
@@ -324,11 +330,11 @@
         while not health.is_ejected(world.endpoints[0].identity, trio.current_time()):
             await trio.sleep(0.01)
         now = trio.current_time()
-        context.left_out = [health.is_ejected(e.identity, now) for e in world.endpoints]
+        context.ejected = [health.is_ejected(e.identity, now) for e in world.endpoints]
 
     context.ingress.run(script)
 
 
 @then("the second gateway ejects the failing endpoint and no other")
-def check_left_out(context):
-    assert context.left_out == [True, False, False], context.left_out
+def check_ejected(context):
+    assert context.ejected == [True, False, False], context.ejected
--- a/features/steps/ingress_core_steps.py
+++ b/features/steps/ingress_core_steps.py
@@ -39,10 +39,10 @@
     def check(seed):
         random = Random(seed)
         delivered = DeliveredEvents()
-        seen = []
-        while len(seen) < 30:
-            again = random.randrange(0, 4)
-            first = max(1, len(seen) + 1 - again)
+        numbers = []
+        while len(numbers) < 30:
+            overlap = random.randrange(0, 4)
+            first = max(1, len(numbers) + 1 - overlap)
             last = min(30, first + random.randrange(12))
             data = b"".join(
                 b"id: %d\r\ndata: x\r\n\r\n" % n
@@ -55,10 +55,10 @@
             splitter = EventSplitter()
             while data:
                 size = random.randrange(1, 20)
-                part, data = data[:size], data[size:]
-                events = delivered.filter_new(splitter.feed(part))
-                seen.extend(event.number for event in events)
-        assert seen == list(range(1, 31))
+                chunk, data = data[:size], data[size:]
+                events = delivered.filter_new(splitter.feed(chunk))
+                numbers.extend(event.number for event in events)
+        assert numbers == list(range(1, 31))
 
 
 def decode_configuration(spec):
--- a/features/steps/ingress_start_steps.py
+++ b/features/steps/ingress_start_steps.py
@@ -23,7 +23,7 @@
 
 UNREAD_SECONDS = 0.05
 """How long a request stays unread before the gateway starts."""
-SETTLED_SECONDS = 0.3
+SETTLE_SECONDS = 0.3
 """Time in which a forwarded request reaches its endpoint."""
 LONG_PATIENCE_SECONDS = 30.0
 HOST = "127.0.0.1"
@@ -91,7 +91,7 @@
             await connection.close()
         await _start(context, world, settings)
         await world.wait_until(world.is_ready)
-        await trio.sleep(SETTLED_SECONDS)
+        await trio.sleep(SETTLE_SECONDS)
 
     context.ingress.run(script)
 
@@ -121,8 +121,8 @@
 )
 def check_probed(context, seconds):
     async def script(world):
-        _, served = world.gateways[0]
-        followers = (served._configuration, served._endpoints)
+        _, daemon = world.gateways[0]
+        followers = (daemon._configuration, daemon._endpoints)
         for follower in followers:
             connection = follower._feed._client._connection
             options = [
@@ -169,7 +169,7 @@
 
 
 @when("a process opens the callers' port at its start")
-def take_port(context):
+def open_port(context):
     variables = {PATH_VARIABLE: str(context.settings_file)}
     with patch.dict("os.environ", variables):
         open_callers_port()
@@ -186,13 +186,13 @@
 
 
 @when("both have been stopping for some seconds and a caller requests a long stream")
-def ask_while_stopping(context):
+def request_while_stopping(context):
     async def script(world):
         await wait_for_peers(world)
         now = trio.current_time()
-        for settings, served in world.gateways.values():
-            served._state.leaving_since = now - STOPPING_SECONDS
-            served._state.stops_at = now - STOPPING_SECONDS + settings.stop_grace
+        for settings, daemon in world.gateways.values():
+            daemon._state.leaving_since = now - STOPPING_SECONDS
+            daemon._state.stops_at = now - STOPPING_SECONDS + settings.stop_grace
         _, first = world.gateways[0]
         while first._peers.living_hosts():
             await trio.sleep(0.01)
@@ -203,9 +203,9 @@
 
 
 @then("it is refused with the time after which a gateway serves again")
-def check_told_return(context):
+def check_retry_after(context):
     assert context.reply.status == 503, vars(context.reply)
-    told = float(context.reply.headers["retry-after"])
+    retry_after = float(context.reply.headers["retry-after"])
     expected = context.grace - STOPPING_SECONDS + RESTART_SECONDS
-    assert expected - 1.0 < told <= expected, told
+    assert expected - 1.0 < retry_after <= expected, retry_after
     assert not context.ingress.runs("model")
--- a/features/support/ingress_world.py
+++ b/features/support/ingress_world.py
@@ -238,11 +238,11 @@
         received = reading.parts if reading else []
         is_whole = False
         try:
-            async for part in connection.read_chunks():
+            async for chunk in connection.read_chunks():
                 if reading is None:
-                    received.append(part)
+                    received.append(chunk)
                 else:
-                    await reading.receive(part)
+                    await reading.receive(chunk)
             is_whole = True
         except ExchangeBrokenError:
             pass
@@ -255,8 +255,8 @@
             await stream.send_all(data)
             received = b""
             with trio.move_on_after(2):
-                async for part in stream:
-                    received += part
+                async for chunk in stream:
+                    received += chunk
                     if b"\r\n\r\n" in received:
                         break
         return int(received.split()[1]) if received else None
--- a/src/piershore/ingress/attempts/attempt_log.py
+++ b/src/piershore/ingress/attempts/attempt_log.py
@@ -20,20 +20,20 @@
     EndpointView,
 )
 
-NO_FAULT_OF_ENDPOINT = (
+OUTCOMES_WITHOUT_ENDPOINT_FAULT = (
     AttemptOutcome.REJECTED,
     AttemptOutcome.HELD,
     AttemptOutcome.RESTING,
     AttemptOutcome.LIMITED,
 )
-COST_DIGITS = 3
+COST_DECIMAL_PLACES = 3
 """Decimal places of costs in log events; smaller differences only break ties."""
 
 
 def log_attempt(
     state: GatewayState,
     exchange: Exchange,
-    choice: PlacementDecision,
+    decision: PlacementDecision,
     number: int,
     work: GenerationWork | None = None,
 ) -> None:
@@ -42,24 +42,24 @@
     state.log.write(
         AttemptStarted(
             request=exchange.identity,
-            endpoint=choice.endpoint.identity,
+            endpoint=decision.endpoint.identity,
             route=exchange.route.name,
             account=exchange.account_name,
             content=exchange.content,
             attempt=number,
-            cost=choice.best.cost,
-            known_requests=choice.load.requests,
-            known_tokens=choice.load.projected_tokens,
+            cost=decision.best.cost,
+            known_requests=decision.load.requests,
+            known_tokens=decision.load.projected_tokens,
             config_version=exchange.configuration.version,
             prompt_tokens=size.prompt_tokens if size else 0,
             hinted_tokens=size.hinted_tokens if size else None,
             most_tokens=size.max_output_tokens if size else 0,
             expected_tokens=work.remaining_tokens if work else 0,
-            view_age=choice.view_age,
-            others=tuple(map(_view, choice.others)),
-            ejected=choice.ejected,
-            resting=choice.resting,
-            limited=choice.limited,
+            view_age=decision.view_age,
+            others=tuple(map(_endpoint_view, decision.others)),
+            ejected=decision.ejected,
+            resting=decision.resting,
+            limited=decision.limited,
         )
     )
 
@@ -73,7 +73,7 @@
 ) -> None:
     """Log and count a failed attempt; record it against the endpoint if at fault."""
     log_failed_attempt(state, exchange, endpoint, error, seconds)
-    if error.outcome not in NO_FAULT_OF_ENDPOINT:
+    if error.outcome not in OUTCOMES_WITHOUT_ENDPOINT_FAULT:
         record_endpoint_failure(state, endpoint)
 
 
@@ -132,10 +132,10 @@
     state.log.write(event, is_failure=True)
 
 
-def _view(candidate: Candidate) -> EndpointView:
+def _endpoint_view(candidate: Candidate) -> EndpointView:
     return EndpointView(
         candidate.endpoint.identity,
-        round(candidate.cost, COST_DIGITS),
+        round(candidate.cost, COST_DECIMAL_PLACES),
         candidate.load.requests,
         candidate.load.projected_tokens,
     )
--- a/src/piershore/ingress/attempts/crash_detector.py
+++ b/src/piershore/ingress/attempts/crash_detector.py
@@ -15,13 +15,13 @@
 from piershore.telemetry.event_log import EventLog
 from piershore.telemetry.events import RequestExcused, RequestSuspected
 
-WAIT_SECONDS = 0.1
+MAX_WAIT_SECONDS = 0.1
 """Maximum wait for the result of a check before the request is sent to another
 endpoint: one that has crashed refuses connections within a few milliseconds."""
-CHECK_PAUSES_SECONDS = (0.0, 0.1, 0.4)
+PROBE_DELAYS_SECONDS = (0.0, 0.1, 0.4)
 """Delay before each probe of an endpoint: one that has crashed may accept or close
 connections for a moment, until its port is closed."""
-SWEEP_SECONDS = 2.0
+SWEEP_INTERVAL_SECONDS = 2.0
 
 
 class CrashDetector:
@@ -43,15 +43,15 @@
         self._checks: dict[str, trio.Event] = {}
         self._crashed: dict[str, float] = {}
         self._nursery: trio.Nursery | None = None
-        self._tell: Callable[[str], None] = _tell_nobody
+        self._announce: Callable[[str], None] = _announce_nothing
 
-    def start(self, nursery: trio.Nursery, tell: Callable[[str], None]) -> None:
+    def start(self, nursery: trio.Nursery, announce: Callable[[str], None]) -> None:
         """Run checks in a nursery.
 
-        `tell` gets the content of each request whose state peers must know.
+        `announce` gets the content of each request whose state peers must know.
         """
         self._nursery = nursery
-        self._tell = tell
+        self._announce = announce
 
     def check_endpoint(self, endpoint: Endpoint) -> None:
         """Check an endpoint whose answer broke off, unless it is leaving.
@@ -60,7 +60,7 @@
         """
         identity = endpoint.identity
         if identity in self._crashed:
-            self._blame(identity)
+            self._suspect_requests(identity)
             return
         if identity in self._checks or self._nursery is None:
             return
@@ -75,12 +75,12 @@
         If it still serves, its completed answers clear the suspected requests.
         """
         if endpoint.stage is not EndpointStage.LEAVING:
-            self._note_crash(endpoint.identity)
+            self._record_crash(endpoint.identity)
 
     def record_sent(self, content: str) -> None:
         """Record that a request is sent to an endpoint; report a probe to the peers."""
         if self._quarantine.record_sent(content, trio.current_time()):
-            self._tell(content)
+            self._announce(content)
 
     def record_completion(self, request: str, content: str) -> None:
         """Record that an endpoint completed a request, which clears its crashes."""
@@ -88,19 +88,19 @@
             return
         self._log.write(RequestExcused(request, content), is_failure=True)
         ingress_metrics.QUARANTINED.set(len(self._quarantine))
-        self._tell(content)
+        self._announce(content)
 
     async def wait_for_check(self, endpoint: Endpoint) -> None:
         """Wait briefly for the result of a check, if one is running."""
         check = self._checks.get(endpoint.identity)
         if check is not None:
-            with trio.move_on_after(WAIT_SECONDS):
+            with trio.move_on_after(MAX_WAIT_SECONDS):
                 await check.wait()
 
     async def sweep(self) -> None:
         """Drop old runs and crashes periodically; never return."""
         while True:
-            await trio.sleep(SWEEP_SECONDS)
+            await trio.sleep(SWEEP_INTERVAL_SECONDS)
             now = trio.current_time()
             self._runs.drop_expired(now)
             for identity, until in list(self._crashed.items()):
@@ -109,45 +109,47 @@
 
     async def _check(self, endpoint: Endpoint) -> None:
         try:
-            await self._look(endpoint)
+            await self._probe(endpoint)
         finally:
             self._checks.pop(endpoint.identity).set()
 
-    async def _look(self, endpoint: Endpoint) -> None:
+    async def _probe(self, endpoint: Endpoint) -> None:
         """Probe an endpoint a few times; the first result releases waiting tasks."""
         identity, is_there = endpoint.identity, None
-        for pause in CHECK_PAUSES_SECONDS:
-            await trio.sleep(pause)
+        for delay in PROBE_DELAYS_SECONDS:
+            await trio.sleep(delay)
             if self._directory.is_leaving(identity):
                 return
             is_there = await self._pool.is_there(endpoint.address)
             if is_there is False:
-                self._note_crash(identity)
+                self._record_crash(identity)
                 return
             self._checks[identity].set()
         if is_there:
             self._runs.clear_abandoned(identity)
 
-    def _note_crash(self, identity: str) -> None:
+    def _record_crash(self, identity: str) -> None:
         self._crashed[identity] = trio.current_time() + REMEMBERED_SECONDS
-        self._blame(identity)
+        self._suspect_requests(identity)
 
-    def _blame(self, identity: str) -> None:
+    def _suspect_requests(self, identity: str) -> None:
         """Suspect the requests that the endpoint had just started to run."""
         now, quarantine = trio.current_time(), self._quarantine
         for run in list(self._runs.suspects(identity, now)):
             crashes = quarantine.record_crash(run.content, identity, now)
             if not crashes:
                 continue
-            held = quarantine.seconds_until_release(run.content, now)
+            seconds_until_release = quarantine.seconds_until_release(run.content, now)
             self._log.write(
-                RequestSuspected(run.request, identity, run.content, crashes, held),
+                RequestSuspected(
+                    run.request, identity, run.content, crashes, seconds_until_release
+                ),
                 is_failure=True,
             )
             ingress_metrics.SUSPECTED.inc()
             ingress_metrics.QUARANTINED.set(len(quarantine))
-            self._tell(run.content)
+            self._announce(run.content)
 
 
-def _tell_nobody(content: str) -> None:
+def _announce_nothing(content: str) -> None:
     """Do nothing: there are no peers yet."""
--- a/src/piershore/ingress/attempts/endpoint_attempt.py
+++ b/src/piershore/ingress/attempts/endpoint_attempt.py
@@ -17,7 +17,7 @@
 from piershore.ingress.gateway_state import GatewayState
 from piershore.ingress.ports import EndpointAnswer, ForwardingOptions
 
-SENT_AT_ONCE_BYTES = 8_192
+MAX_SENT_FIRST_BYTES = 8_192
 """Larger bodies are sent while the answer is awaited, which may arrive early. Whether
 the endpoint has read the whole body is unknown then, so the connection isn't reused."""
 
@@ -30,14 +30,14 @@
         state: GatewayState,
         exchange: Exchange,
         endpoint: Endpoint,
-        longest_idle: float,
+        max_idle_seconds: float,
     ) -> None:
         self._state = state
         self._exchange = exchange
         self.endpoint = endpoint
-        self._longest_idle = longest_idle
+        self._max_idle_seconds = max_idle_seconds
         self._connection: ClientConnection | None = None
-        self._is_whole = False
+        self._is_complete = False
         self._is_broken = False
         self._run: EndpointRun | None = None
         self.head: ResponseHead | None = None
@@ -53,7 +53,7 @@
         """Whether the request was sent and no head of an answer was received."""
         return self.may_have_run and self.head is None
 
-    async def start(self, order: ForwardingOptions) -> EndpointAnswer:
+    async def start(self, options: ForwardingOptions) -> EndpointAnswer:
         """Send the request and read the answer's head.
 
         Raise `AttemptFailedError` if that fails or the endpoint did not run the
@@ -62,20 +62,20 @@
         exchange = self._exchange
         try:
             self._connection = await self._state.pool.take(
-                self.endpoint, self._longest_idle
+                self.endpoint, self._max_idle_seconds
             )
         except NotConnectedError as error:
             raise AttemptFailedError(AttemptOutcome.NOT_SENT, error.message) from error
-        self._check_rest()
+        self._check_backoff()
         self._check_limit()
         self._begin_run()
         head = self._state.dialect.build_forwarded_head(
-            exchange.request, len(exchange.body), self.endpoint, order
+            exchange.request, len(exchange.body), self.endpoint, options
         )
         self.may_have_run = True
         try:
             await self._send(head)
-            self.head = await self._connection.read_head(self._is_own)
+            self.head = await self._connection.read_head(self._is_answer)
         except ExchangeBrokenError as error:
             self._is_broken = True
             raise AttemptFailedError(AttemptOutcome.MAYBE_RUN, error.message) from error
@@ -96,19 +96,19 @@
         except ExchangeBrokenError as error:
             self._is_broken = True
             raise AttemptFailedError(AttemptOutcome.MAYBE_RUN, error.message) from error
-        self._is_whole = True
+        self._is_complete = True
         return body
 
     async def read_chunks(self) -> AsyncIterator[bytes]:
         """Yield the body in chunks; raise `ExchangeBrokenError` if it breaks off."""
         try:
-            async for part in self._connection.read_chunks():
+            async for chunk in self._connection.read_chunks():
                 self._run.record_chunk(trio.current_time())
-                yield part
+                yield chunk
         except ExchangeBrokenError:
             self._is_broken = True
             raise
-        self._is_whole = True
+        self._is_complete = True
 
     async def close(self) -> None:
         """Return the connection to the pool; close it if the answer is incomplete."""
@@ -120,7 +120,7 @@
             await self._state.pool.give_back(
                 self.endpoint.address,
                 connection,
-                reusable=self._is_whole and not self._ends_here(),
+                reusable=self._is_complete and not self._must_close(),
             )
 
     def record_served(self) -> None:
@@ -133,7 +133,7 @@
             exchange.identity, exchange.content
         )
 
-    def _check_rest(self) -> None:
+    def _check_backoff(self) -> None:
         """Fail if the endpoint asked callers to back off while this connected."""
         now = trio.current_time()
         if self._state.backoffs.is_active(self.endpoint.identity, now):
@@ -175,31 +175,33 @@
         if run is None:
             return
         state, identity = self._state, self.endpoint.identity
-        if self._is_whole or not self.may_have_run:
+        if self._is_complete or not self.may_have_run:
             state.runs.end(identity, run)
         else:
             state.runs.abandon(identity, run, trio.current_time())
         if self._is_broken:
             state.crash_detector.check_endpoint(self.endpoint)
 
-    def _ends_here(self) -> bool:
-        if len(self._exchange.body) > SENT_AT_ONCE_BYTES:
+    def _must_close(self) -> bool:
+        if len(self._exchange.body) > MAX_SENT_FIRST_BYTES:
             return True
         value = self.head.header(b"connection") if self.head else None
         return value is not None and b"close" in value.lower()
 
-    def _is_own(self, head: ResponseHead) -> bool:
+    def _is_answer(self, head: ResponseHead) -> bool:
         return self._state.dialect.is_answer_to(self._exchange.request, head)
 
     async def _send(self, head: RequestHead) -> None:
-        if len(self._exchange.body) <= SENT_AT_ONCE_BYTES:
+        if len(self._exchange.body) <= MAX_SENT_FIRST_BYTES:
             await self._connection.send(head, self._exchange.body)
             return
-        self._exchange.nursery.start_soon(self._send_beside, self._connection, head)
+        self._exchange.nursery.start_soon(
+            self._send_concurrently, self._connection, head
+        )
         # The head must be encoded before the answer to it is read.
         await trio.lowlevel.checkpoint()
 
-    async def _send_beside(
+    async def _send_concurrently(
         self, connection: ClientConnection, head: RequestHead
     ) -> None:
         try:
--- a/src/piershore/ingress/attempts/endpoint_notices.py
+++ b/src/piershore/ingress/attempts/endpoint_notices.py
@@ -24,10 +24,10 @@
 from piershore.telemetry.event_log import EventLog
 from piershore.telemetry.events import EndpointTold
 
-OnDepartures = Callable[[Iterable[Departure]], None]
+DeparturesCallback = Callable[[Iterable[Departure]], None]
 
 
-def _ignore(departures: Iterable[Departure]) -> None:
+def _ignore_departures(departures: Iterable[Departure]) -> None:
     """Ignore endpoints that leave: the process has not started yet."""
 
 
@@ -43,21 +43,23 @@
 
     def __init__(
         self,
-        heard: NoticeHandler,
+        handler: NoticeHandler,
         limits: EndpointRateLimits,
         monitor: RateLimitMonitor,
         dialect: RequestDialect,
         log: EventLog,
     ) -> None:
-        self._heard = heard
+        self._handler = handler
         self._limits = limits
         self._monitor = monitor
         self._dialect = dialect
         self._log = log
-        self._on_departures: OnDepartures = _ignore
+        self._on_departures: DeparturesCallback = _ignore_departures
         self._announce: Callable[[], None] = _announce_nothing
 
-    def start(self, on_departures: OnDepartures, announce: Callable[[], None]) -> None:
+    def start(
+        self, on_departures: DeparturesCallback, announce: Callable[[], None]
+    ) -> None:
         """Set the callbacks.
 
         `on_departures` is called when endpoints leave, `announce` when a rate limit
@@ -89,12 +91,12 @@
         self._count(notice)
         identity = endpoint.identity
         was_limited = self._limits.is_limited(identity)
-        heard = self._heard.apply(endpoint, notice, trio.current_time())
-        if heard.has_new_limit:
+        result = self._handler.apply(endpoint, notice, trio.current_time())
+        if result.has_new_limit:
             self._monitor.record_change(identity)
         if self._limits.is_limited(identity) != was_limited:
             self._announce()
-        if heard.is_new:
+        if result.is_new:
             event = EndpointTold(
                 endpoint.identity,
                 endpoint.service,
@@ -105,7 +107,7 @@
                 notice.unreadable,
             )
             self._log.write(event, is_failure=True)
-        self._on_departures(heard.departures)
+        self._on_departures(result.departures)
 
     @staticmethod
     def _count(notice: EndpointNotice) -> None:
--- a/src/piershore/ingress/attempts/rate_limit_monitor.py
+++ b/src/piershore/ingress/attempts/rate_limit_monitor.py
@@ -13,7 +13,7 @@
 from piershore.telemetry.event_log import EventLog
 from piershore.telemetry.events import EndpointLimitChanged
 
-OWN_ANSWER = "endpoint"
+SOURCE_ENDPOINT = "endpoint"
 """Source of a limit that an endpoint advertised in an answer to this gateway."""
 
 
@@ -26,14 +26,14 @@
         self._limits = limits
         self._directory = directory
         self._log = log
-        self._measured: set[str] = set()
+        self._with_gauges: set[str] = set()
 
-    def apply_report(self, told: Mapping[str, RateReport], peer: str) -> None:
+    def apply_report(self, reports: Mapping[str, RateReport], peer: str) -> None:
         """Apply the rate limits that endpoints advertised to a peer."""
-        for identity in self._limits.apply_report(told, trio.current_time()):
+        for identity in self._limits.apply_report(reports, trio.current_time()):
             self.record_change(identity, peer)
 
-    def record_change(self, identity: str, source: str = OWN_ANSWER) -> None:
+    def record_change(self, identity: str, source: str = SOURCE_ENDPOINT) -> None:
         """Log that the rate limit of an endpoint has changed."""
         endpoint = self._directory.get(identity)
         if endpoint is None:
@@ -52,17 +52,17 @@
         """Drop expired limits, and set the gauges."""
         self._limits.drop_expired(trio.current_time())
         limited = set(self._limits.limited())
-        for identity in self._measured - limited:
+        for identity in self._with_gauges - limited:
             ingress_metrics.RATE_LIMITS.remove(identity)
             ingress_metrics.RATE_PARTS.remove(identity)
-        self._measured = set()
+        self._with_gauges = set()
         for endpoint in filter(None, map(self._directory.get, limited)):
-            self._measure_one(endpoint)
+            self._update_endpoint_gauges(endpoint)
 
-    def _measure_one(self, endpoint: Endpoint) -> None:
+    def _update_endpoint_gauges(self, endpoint: Endpoint) -> None:
         identity = endpoint.identity
         quota = self._limits.quota(endpoint)
         ingress_metrics.RATE_LIMITS.labels(identity).set(self._limits.rate(identity))
-        part = quota.requests / quota.window
-        ingress_metrics.RATE_PARTS.labels(identity).set(part)
-        self._measured.add(identity)
+        quota_rate = quota.requests / quota.window
+        ingress_metrics.RATE_PARTS.labels(identity).set(quota_rate)
+        self._with_gauges.add(identity)
--- a/src/piershore/ingress/callers/caller_service.py
+++ b/src/piershore/ingress/callers/caller_service.py
@@ -24,10 +24,10 @@
 from piershore.ingress.streams.stream_forwarder import StreamForwarder
 from piershore.telemetry.events import CallerGone
 
-UNKNOWN_CONFIGURATION_SECONDS = 0.5
+NO_CONFIGURATION_RETRY_SECONDS = 0.5
 """Sent as Retry-After by a gateway that has just started: reading the configuration
 takes a few milliseconds."""
-LOOKS = 2
+TASK_START_CHECKPOINTS = 2
 """Iterations of the event loop in which a task that was just started runs once."""
 
 
@@ -120,7 +120,7 @@
                 HTTPStatus.SERVICE_UNAVAILABLE,
                 "no_configuration",
                 "no configuration is known yet",
-                UNKNOWN_CONFIGURATION_SECONDS,
+                NO_CONFIGURATION_RETRY_SECONDS,
             )
         route = self._find_route(configuration, request)
         account = self._find_account(configuration, route, request)
@@ -149,15 +149,15 @@
                 arrived + time_left,
                 nursery,
             )
-            nursery.start_soon(self._cancel_when_gone, exchange)
-            await _see_what_came()
+            nursery.start_soon(self._cancel_when_closed, exchange)
+            await _let_tasks_start()
             try:
                 await self._forward(exchange)
                 is_done = True
             except RequestRefusedError as error:
                 refusal = error
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                self._log_gone(exchange)
+                self._log_caller_gone(exchange)
             nursery.cancel_scope.cancel()
         if refusal is not None:
             raise refusal
@@ -181,7 +181,7 @@
                 state.seconds_until_accepted(),
             )
 
-    def _check_held(self, exchange: Exchange) -> None:
+    def _check_quarantine(self, exchange: Exchange) -> None:
         """Refuse a quarantined request.
 
         Each attempt that was forwarded crashed one more endpoint, with all that it ran.
@@ -196,18 +196,18 @@
             )
 
     async def _forward(self, exchange: Exchange) -> None:
-        self._check_held(exchange)
+        self._check_quarantine(exchange)
         if exchange.route.kind is RequestKind.STREAM:
             await self._streams.serve(exchange)
             return
         await self._calls.serve(exchange)
 
-    async def _cancel_when_gone(self, exchange: Exchange) -> None:
+    async def _cancel_when_closed(self, exchange: Exchange) -> None:
         await exchange.connection.wait_closed()
-        self._log_gone(exchange)
+        self._log_caller_gone(exchange)
         exchange.nursery.cancel_scope.cancel()
 
-    def _log_gone(self, exchange: Exchange) -> None:
+    def _log_caller_gone(self, exchange: Exchange) -> None:
         self._state.log.write(CallerGone(exchange.identity, exchange.age))
 
     @staticmethod
@@ -235,11 +235,11 @@
         return account
 
 
-async def _see_what_came() -> None:
+async def _let_tasks_start() -> None:
     """Let the task that detects a closed connection run before anything is forwarded.
 
     A caller that gave up while its request was unread has already closed the
     connection, and nothing may run for it.
     """
-    for _ in range(LOOKS):
+    for _ in range(TASK_START_CHECKPOINTS):
         await trio.lowlevel.checkpoint()
--- a/src/piershore/ingress/callers/exchange.py
+++ b/src/piershore/ingress/callers/exchange.py
@@ -72,8 +72,8 @@
             return self.account.priority
         return self.route.priority
 
-    def forwarding_options(self, **added) -> ForwardingOptions:
+    def forwarding_options(self, **extra) -> ForwardingOptions:
         """Return what is added to the request when it is forwarded now."""
         return ForwardingOptions(
-            time_left=self.time_left, account=self.account, **added
+            time_left=self.time_left, account=self.account, **extra
         )
--- a/src/piershore/ingress/callers/final_refusal.py
+++ b/src/piershore/ingress/callers/final_refusal.py
@@ -12,7 +12,7 @@
 from piershore.ingress.exceptions import RequestRefusedError
 from piershore.ingress.gateway_state import GatewayState
 
-RESTED_SPREAD = (1.0, 1.25)
+RETRY_JITTER = (1.0, 1.25)
 """Bounds of a random factor on the time until the first endpoint's backoff ends, so
 that callers don't all retry at that moment."""
 
@@ -32,38 +32,41 @@
     """
     status = final_status(tuple(outcomes))
     if status is HTTPStatus.SERVICE_UNAVAILABLE:
-        return _unrun(state, exchange, outcomes, retry_after)
+        return _unrun_refusal(state, exchange, outcomes, retry_after)
     code = "timed_out" if timed_out else "endpoint_failed"
     return RequestRefusedError(status, code, "the request may have run")
 
 
-def _unrun(
+def _unrun_refusal(
     state: GatewayState,
     exchange: Exchange,
     outcomes: Sequence[AttemptOutcome],
-    come_back: float,
+    retry_after: float,
 ) -> RequestRefusedError:
     """Return the refusal of a request that has not run, with when to retry."""
     status = HTTPStatus.SERVICE_UNAVAILABLE
     service = exchange.route.service_for(exchange.identity) or ""
     now = trio.current_time()
-    left = state.placement.seconds_until_any_available(service, now)
+    seconds_left = state.placement.seconds_until_any_available(service, now)
     rate = state.placement.limited_rate(service)
-    if left is not None and rate:
+    if seconds_left is not None and rate:
         return RequestRefusedError(
             status,
             "endpoints_limited",
             "the rate limits of all endpoints are reached",
-            max(come_back, state.retry_schedule(service).reserve(left, rate, now)),
+            max(
+                retry_after,
+                state.retry_schedule(service).reserve(seconds_left, rate, now),
+            ),
         )
-    if left is not None:
-        seconds = left * state.random.uniform(*RESTED_SPREAD)
+    if seconds_left is not None:
+        seconds = seconds_left * state.random.uniform(*RETRY_JITTER)
         return RequestRefusedError(
             status,
             "endpoints_resting",
             "all endpoints have asked callers to back off",
-            max(come_back, seconds),
+            max(retry_after, seconds),
         )
     code = "endpoints_refused" if outcomes else "no_endpoint"
     message = "no endpoint accepted the request"
-    return RequestRefusedError(status, code, message, come_back)
+    return RequestRefusedError(status, code, message, retry_after)
--- a/src/piershore/ingress/callers/listeners.py
+++ b/src/piershore/ingress/callers/listeners.py
@@ -14,7 +14,7 @@
 READY_PATIENCE_SECONDS = 0.3
 """Maximum wait of callers for the first view of the store, which takes a few tens of
 milliseconds. If the store is unavailable, they are refused at once afterwards."""
-READY_CHECK_SECONDS = 0.005
+READY_POLL_SECONDS = 0.005
 
 Handler = Callable[[trio.SocketStream], Awaitable[None]]
 
@@ -39,13 +39,13 @@
         It is served once `is_ready` returns True, since the gateway then knows where
         to forward requests, or after `READY_PATIENCE_SECONDS`.
         """
-        early = pop_early_listener(address.host, address.port)
-        if early is None:
+        early_listener = pop_early_listener(address.host, address.port)
+        if early_listener is None:
             listeners = await trio.open_tcp_listeners(
                 address.port, host=address.host, backlog=BACKLOG
             )
         else:
-            early_socket = trio.socket.from_stdlib_socket(early)
+            early_socket = trio.socket.from_stdlib_socket(early_listener)
             listeners = [trio.SocketListener(early_socket)]
         self._nursery.start_soon(self._serve_when, is_ready, listeners, handler)
 
@@ -57,7 +57,7 @@
     ) -> None:
         with trio.move_on_after(READY_PATIENCE_SECONDS):
             while not is_ready():
-                await trio.sleep(READY_CHECK_SECONDS)
+                await trio.sleep(READY_POLL_SECONDS)
         self._serve(listeners, handler)
 
     def _serve(self, listeners: list[trio.SocketListener], handler: Handler) -> None:
--- a/src/piershore/ingress/calls/call_forwarder.py
+++ b/src/piershore/ingress/calls/call_forwarder.py
@@ -35,15 +35,15 @@
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import RequestAnswered
 
-IDLE_OF_ONCE_SECONDS = 1.0
+MAX_IDLE_ONCE_SECONDS = 1.0
 """Maximum idle time of a connection that is reused for a request that may run only
 once: if the endpoint has closed it, whether the request ran is unknown."""
-IDLE_OF_REPEATABLE_SECONDS = 4.0
-SILENT_AIMS = 1.6
+MAX_IDLE_REPEATABLE_SECONDS = 4.0
+MAX_SILENCE_LATENCIES = 1.6
 """Multiple of the target latency after which an unanswered repeatable request is sent
 to another endpoint. The pooled connections to the silent one are closed then, since
 they may be dead too: each of up to 8 would cost another call its whole timeout."""
-FAILURES_OF_A_REQUEST = 2
+MIN_FAILURES_OF_REQUEST = 2
 """Number of endpoints that answer with a failure from which on the request is at fault
 and not the endpoints."""
 RETRY_AFTER_SECONDS = 0.25
@@ -97,9 +97,9 @@
         self._state = state
         self._exchange = exchange
         self._tried: list[str] = []
-        self._runs = 0
+        self._possible_runs = 0
         self._failed_answer: WholeAnswer | None = None
-        self._suspects: list[Endpoint] = []
+        self._failed_endpoints: list[Endpoint] = []
         self.outcomes: list[AttemptOutcome] = []
 
     async def find_answer(self) -> WholeAnswer | None:
@@ -107,12 +107,12 @@
         answer = await self._try_endpoints()
         # If two endpoints both answer with a failure, the request is at fault: of 50
         # first failures of a healthy service, 35 recurred.
-        is_own_fault = (
-            len(self._suspects) >= FAILURES_OF_A_REQUEST
+        is_request_fault = (
+            len(self._failed_endpoints) >= MIN_FAILURES_OF_REQUEST
             and answer is self._failed_answer
         )
-        if not is_own_fault:
-            for endpoint in self._suspects:
+        if not is_request_fault:
+            for endpoint in self._failed_endpoints:
                 record_endpoint_failure(self._state, endpoint)
         return answer
 
@@ -124,18 +124,18 @@
         self._state.retry_budget(service).record_request(trio.current_time())
         while True:
             now = trio.current_time()
-            choice = self._state.placement.for_call(service, now, self._tried)
-            if choice is None and self._tried and self._runs == 0:
-                choice = self._state.placement.for_call(service, now)
-            if choice is None and await self._wait_for_endpoint(service):
+            decision = self._state.placement.for_call(service, now, self._tried)
+            if decision is None and self._tried and self._possible_runs == 0:
+                decision = self._state.placement.for_call(service, now)
+            if decision is None and await self._wait_for_endpoint(service):
                 continue
-            if choice is None:
+            if decision is None:
                 return self._failed_answer
-            answer = await self._attempt(choice)
+            answer = await self._attempt(decision)
             if answer is not None:
                 return answer
-            await self._state.crash_detector.wait_for_check(choice.endpoint)
-            if not self._may_go_on(service):
+            await self._state.crash_detector.wait_for_check(decision.endpoint)
+            if not self._may_retry(service):
                 return self._failed_answer
 
     async def _wait_for_endpoint(self, service: str) -> bool:
@@ -144,20 +144,22 @@
         Return False if there is none.
         """
         now = trio.current_time()
-        left = self._state.placement.seconds_until_any_available(service, now)
+        seconds_left = self._state.placement.seconds_until_any_available(service, now)
         exchange = self._exchange
-        until = exchange.arrived + max_memory_wait_seconds(
+        max_wait_until = exchange.arrived + max_memory_wait_seconds(
             exchange.route.target_latency
         )
-        if left is None or now + left > until:
+        if seconds_left is None or now + seconds_left > max_wait_until:
             return False
-        await trio.sleep(left)
+        await trio.sleep(seconds_left)
         return True
 
     def refusal(self, *, timed_out: bool) -> RequestRefusedError:
         """Return the refusal to send when no endpoint gave an answer."""
         outcomes = list(self.outcomes)
-        if self._runs > sum(not outcome.proves_not_run for outcome in outcomes):
+        if self._possible_runs > sum(
+            not outcome.proves_not_run for outcome in outcomes
+        ):
             outcomes.append(AttemptOutcome.TIMED_OUT)
         return final_refusal(
             self._state,
@@ -167,49 +169,51 @@
             timed_out=timed_out,
         )
 
-    def _may_go_on(self, service: str) -> bool:
+    def _may_retry(self, service: str) -> bool:
         outcome = self.outcomes[-1]
         kind = self._exchange.route.kind
         if not may_retry(kind, outcome):
             return False
-        if self._runs >= self._exchange.route.max_attempts:
+        if self._possible_runs >= self._exchange.route.max_attempts:
             return False
         if self._exchange.seconds_until_release(self._state.quarantine) is not None:
             return False
-        unrun = sum(outcome.proves_not_run for outcome in self.outcomes)
-        if unrun >= MAX_UNRUN_REFUSALS or not self._state.spend_retry(service):
+        unrun_count = sum(outcome.proves_not_run for outcome in self.outcomes)
+        if unrun_count >= MAX_UNRUN_REFUSALS or not self._state.spend_retry(service):
             return False
         ingress_metrics.RETRIES.labels(outcome).inc()
         return True
 
-    async def _attempt(self, choice: PlacementDecision) -> WholeAnswer | None:
+    async def _attempt(self, decision: PlacementDecision) -> WholeAnswer | None:
         exchange = self._exchange
-        endpoint = choice.endpoint
+        endpoint = decision.endpoint
         self._tried.append(endpoint.identity)
         is_repeatable = exchange.route.kind is RequestKind.REPEATABLE
-        idle = IDLE_OF_REPEATABLE_SECONDS if is_repeatable else IDLE_OF_ONCE_SECONDS
-        attempt = EndpointAttempt(self._state, exchange, endpoint, idle)
+        max_idle_seconds = (
+            MAX_IDLE_REPEATABLE_SECONDS if is_repeatable else MAX_IDLE_ONCE_SECONDS
+        )
+        attempt = EndpointAttempt(self._state, exchange, endpoint, max_idle_seconds)
         work = PlainWork()
         self._state.fleet_load.add(endpoint.identity, work)
-        log_attempt(self._state, exchange, choice, len(self._tried))
+        log_attempt(self._state, exchange, decision, len(self._tried))
         started = trio.current_time()
         try:
-            with trio.move_on_after(self._patience()):
-                return await self._exchange_with(attempt)
+            with trio.move_on_after(self._attempt_timeout()):
+                return await self._send_and_read(attempt)
             raise AttemptFailedError(AttemptOutcome.TIMED_OUT, "no answer in time")
         except AttemptFailedError as error:
-            self._note_failure(endpoint, error, trio.current_time() - started)
+            self._record_failure(endpoint, error, trio.current_time() - started)
             return None
         finally:
-            self._runs += attempt.may_have_run
+            self._possible_runs += attempt.may_have_run
             self._state.fleet_load.remove(endpoint.identity, work)
             await attempt.close()
             seconds = trio.current_time() - started
-            if attempt.is_unanswered and seconds >= self._silent_seconds:
+            if attempt.is_unanswered and seconds >= self._max_silence_seconds:
                 with trio.CancelScope(shield=True):
                     await self._state.pool.drop(endpoint.address)
 
-    async def _exchange_with(self, attempt: EndpointAttempt) -> WholeAnswer | None:
+    async def _send_and_read(self, attempt: EndpointAttempt) -> WholeAnswer | None:
         answer = await attempt.start(self._exchange.forwarding_options())
         body = await attempt.read_body()
         identity = attempt.endpoint.identity
@@ -218,39 +222,39 @@
                 AttemptOutcome.MAYBE_RUN, f"unusable answer, status {answer.status}"
             )
         headers = self._state.dialect.forwarded_answer_headers(attempt.head)
-        whole = WholeAnswer(attempt.endpoint, answer.status, headers, body)
+        complete_answer = WholeAnswer(attempt.endpoint, answer.status, headers, body)
         if answer.status < HTTPStatus.INTERNAL_SERVER_ERROR:
             self._state.record_success(identity)
             attempt.record_served()
-            return whole
-        self._failed_answer = whole
+            return complete_answer
+        self._failed_answer = complete_answer
         raise AttemptFailedError(
             AttemptOutcome.FAILED_ANSWER, f"the endpoint answered {answer.status}"
         )
 
     @property
-    def _silent_seconds(self) -> float:
-        return SILENT_AIMS * self._exchange.route.target_latency
+    def _max_silence_seconds(self) -> float:
+        return MAX_SILENCE_LATENCIES * self._exchange.route.target_latency
 
-    def _patience(self) -> float:
+    def _attempt_timeout(self) -> float:
         """Return how long to wait for this attempt, in seconds."""
         exchange = self._exchange
         is_repeatable = exchange.route.kind is RequestKind.REPEATABLE
-        if not is_repeatable or self._runs + 1 >= exchange.route.max_attempts:
+        if not is_repeatable or self._possible_runs + 1 >= exchange.route.max_attempts:
             return float("inf")
         if not self._state.is_enabled(Mechanism.PATIENCE):
             return float("inf")
-        patience = self._silent_seconds
+        timeout = self._max_silence_seconds
         # The time left is negative if the process was suspended since the arrival.
-        return max(0.0, min(patience, exchange.time_left / 2))
+        return max(0.0, min(timeout, exchange.time_left / 2))
 
-    def _note_failure(
+    def _record_failure(
         self, endpoint: Endpoint, error: AttemptFailedError, seconds: float
     ) -> None:
         self.outcomes.append(error.outcome)
         if error.outcome is AttemptOutcome.FAILED_ANSWER:
             log_failed_attempt(self._state, self._exchange, endpoint, error, seconds)
-            self._suspects.append(endpoint)
+            self._failed_endpoints.append(endpoint)
             return
         record_failed_attempt(self._state, self._exchange, endpoint, error, seconds)
         record_refusal(self._state, endpoint, error)
--- a/src/piershore/ingress/daemon.py
+++ b/src/piershore/ingress/daemon.py
@@ -60,14 +60,14 @@
 DRAIN_WATCH_SECONDS = 12.0
 """Longer than `WATCH_SECONDS`, since drains are rare and each call has a price. TCP
 probes detect a silent connection after 2 s, and peers report what a watcher misses."""
-FRESH_SLACK_SECONDS = 1.5
+FRESHNESS_SLACK_SECONDS = 1.5
 """Added to the timeout of a watch: an answer counts as fresh up to this age."""
-LEAVE_SECONDS = 2.6
+MIN_LEAVE_SECONDS = 2.6
 """The platform stops routing to a box after two failed checks, one a second."""
 STOP_MARGIN_SECONDS = 0.4
 """Time reserved for exiting before the platform kills the process."""
-SWEEP_SECONDS = 1.0
-RESTART_SECONDS = 0.2
+SWEEP_INTERVAL_SECONDS = 1.0
+RESTART_DELAY_SECONDS = 0.2
 """Delay before a task that failed with an unexpected error is restarted."""
 
 
@@ -82,7 +82,7 @@
         configuration_feed: ConfigurationFeed,
         endpoint_feed: EndpointFeed,
         drain_feed: DrainFeed,
-        endpoint_reports: EndpointProber,
+        endpoint_prober: EndpointProber,
         metrics_port: int | None = None,
         policies: Policies | None = None,
     ) -> None:
@@ -116,7 +116,7 @@
         self._drains = DrainFollower(
             self._state, drain_feed, DRAIN_WATCH_SECONDS, self._on_drained
         )
-        self._endpoint_reports = endpoint_reports
+        self._endpoint_prober = endpoint_prober
         self._status = StatusService(self._is_ready)
         self._metrics_port = metrics_port
         self._peers: PeerLink | None = None
@@ -147,17 +147,17 @@
             self._settings,
             self._live,
             self._reads_store,
-            self._store_sign,
+            self._store_liveness,
             self._endpoints.apply_departure,
             self._drains,
         )
         self._peers = link
         self._state.announce = link.announce
         self._state.announce_failure = link.announce_failure
-        notes = LoadUpdateSender(self._state, link)
-        news = CrashReporter(self._state, link)
+        load_updates = LoadUpdateSender(self._state, link)
+        crash_reporter = CrashReporter(self._state, link)
         if self._state.is_enabled(Mechanism.SUBSETS):
-            self._state.announce_load = notes.schedule_update
+            self._state.announce_load = load_updates.schedule_update
         self._state.seconds_until_accepted = link.seconds_until_accepted
         self._configuration.set_watch_condition(link.should_watch)
         self._endpoints.set_watch_condition(link.should_watch)
@@ -165,29 +165,29 @@
         documents = PeerDocuments(
             self._state, self._settings, link, self._configuration, self._endpoints
         )
-        outages = OutageProber(
+        outage_prober = OutageProber(
             self._state,
             self._settings.host,
-            self._endpoint_reports,
+            self._endpoint_prober,
             self._endpoints,
             link,
         )
-        silences = SilenceWatch(
-            self._state, self._live, self._moves, self._endpoint_reports
+        silence_watch = SilenceWatch(
+            self._state, self._live, self._moves, self._endpoint_prober
         )
         await link.start()
         try:
             async with trio.open_nursery() as nursery:
                 self._moves.start(nursery, link)
-                self._state.crash_detector.start(nursery, news.announce)
-                news.start(nursery)
+                self._state.crash_detector.start(nursery, crash_reporter.announce)
+                crash_reporter.start(nursery)
                 nursery.start_soon(self._supervise, self._state.crash_detector.sweep)
-                nursery.start_soon(self._supervise, news.run)
-                await self._start(nursery, link, notes, documents)
+                nursery.start_soon(self._supervise, crash_reporter.run)
+                await self._start(nursery, link, load_updates, documents)
                 if self._state.is_enabled(Mechanism.OUTAGE_QUESTIONS):
-                    nursery.start_soon(self._supervise, outages.run)
+                    nursery.start_soon(self._supervise, outage_prober.run)
                 if self._state.is_enabled(Mechanism.SILENCE_QUESTIONS):
-                    nursery.start_soon(self._supervise, silences.run)
+                    nursery.start_soon(self._supervise, silence_watch.run)
                 self._log.write(
                     ProcessStarted(link.incarnation, self._settings.data_hall)
                 )
@@ -199,7 +199,7 @@
         self,
         nursery: trio.Nursery,
         link: PeerLink,
-        notes: LoadUpdateSender,
+        load_updates: LoadUpdateSender,
         documents: PeerDocuments,
     ) -> None:
         settings = self._settings
@@ -223,7 +223,7 @@
             self._endpoints.sweep,
             link.receive,
             link.send,
-            notes.run,
+            load_updates.run,
             documents.follow,
             self._sweep_connections,
             self._log.run,
@@ -237,20 +237,22 @@
                 await task()
             except Exception as error:
                 self._log.write_fault(task.__qualname__, error)
-            await trio.sleep(RESTART_SECONDS)
+            await trio.sleep(RESTART_DELAY_SECONDS)
 
     def _reads_store(self) -> bool:
-        link = self._endpoints.health
-        return not link.is_out and link.is_fresh(WATCH_SECONDS + FRESH_SLACK_SECONDS)
+        health = self._endpoints.health
+        return not health.is_out and health.is_fresh(
+            WATCH_SECONDS + FRESHNESS_SLACK_SECONDS
+        )
 
-    def _store_sign(self) -> StoreLiveness:
-        signs = (
+    def _store_liveness(self) -> StoreLiveness:
+        observations = (
             self._configuration.health.liveness(),
             self._endpoints.health.liveness(),
         )
         return StoreLiveness(
-            min(sign.answer_age for sign in signs),
-            any(sign.is_overdue for sign in signs),
+            min(one.answer_age for one in observations),
+            any(one.is_overdue for one in observations),
         )
 
     def _is_ready(self) -> bool:
@@ -302,13 +304,13 @@
             is_failure=True,
         )
         if self._peers is not None:
-            note = DepartureReport(
+            report = DepartureReport(
                 endpoint.identity, departure.is_gone, departure.is_restarted
             )
-            self._peers.announce_departure(note)
+            self._peers.announce_departure(report)
         self._live.drop_backups(endpoint.identity)
         if departure.is_restarted:
-            self._end_streams(streams)
+            self._give_up_streams(streams)
             self._state.pool.retire(endpoint.address)
         else:
             self._moves.evacuate(endpoint)
@@ -320,7 +322,7 @@
             self._state.limits.forget(endpoint.identity)
 
     @staticmethod
-    def _end_streams(streams: Iterable[LiveStream]) -> None:
+    def _give_up_streams(streams: Iterable[LiveStream]) -> None:
         """Stop waiting for streams whose endpoint has lost them.
 
         They continue from their copy or backup, if they have one.
@@ -330,7 +332,7 @@
 
     async def _sweep_connections(self) -> None:
         while True:
-            await trio.sleep(SWEEP_SECONDS)
+            await trio.sleep(SWEEP_INTERVAL_SECONDS)
             await self._state.pool.close_idle()
             ingress_metrics.IN_FLIGHT.set(self._state.in_flight)
             self._state.backoffs.drop_expired(trio.current_time())
@@ -365,6 +367,6 @@
         with trio.move_on_at(self._state.stops_at):
             await trio.sleep_until(now + ROUTING_LAG_SECONDS)
             self._callers.close_idle()
-            await trio.sleep_until(now + LEAVE_SECONDS)
+            await trio.sleep_until(now + MIN_LEAVE_SECONDS)
             while self._state.in_flight:
                 await trio.sleep(0.02)
--- a/src/piershore/ingress/gateway_state.py
+++ b/src/piershore/ingress/gateway_state.py
@@ -41,15 +41,15 @@
 from piershore.telemetry.event_log import EventLog
 
 
-def _nothing() -> None:
+def _announce_nothing() -> None:
     """Announce nothing: there are no peers yet."""
 
 
-def _tell_nobody(endpoint: Endpoint) -> None:
+def _announce_no_load(endpoint: Endpoint) -> None:
     """Announce no new work: there are no peers yet."""
 
 
-def _at_once() -> float:
+def _immediate_retry_seconds() -> float:
     """Return the delay of retries as long as no peers are known."""
     return IMMEDIATE_RETRY_SECONDS
 
@@ -91,12 +91,12 @@
     stops_at: float = float("inf")
     gateway_count: int = 1
     in_flight: int = 0
-    announce: Callable[[], None] = _nothing
-    announce_failure: Callable[[], None] = _nothing
-    announce_load: Callable[[Endpoint], None] = _tell_nobody
-    seconds_until_accepted: Callable[[], float] = _at_once
-    _allowances: dict[str, RetryBudget] = field(default_factory=dict)
-    _returns: dict[str, RetrySchedule] = field(default_factory=dict)
+    announce: Callable[[], None] = _announce_nothing
+    announce_failure: Callable[[], None] = _announce_nothing
+    announce_load: Callable[[Endpoint], None] = _announce_no_load
+    seconds_until_accepted: Callable[[], float] = _immediate_retry_seconds
+    _retry_budgets: dict[str, RetryBudget] = field(default_factory=dict)
+    _retry_schedules: dict[str, RetrySchedule] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.subsets = EndpointSubsets(self.host, self.directory)
@@ -106,10 +106,10 @@
         )
         shares = RateShares(self.host, self.subsets, self.configuration)
         self.limits = EndpointRateLimits(shares)
-        heard = NoticeHandler(self.directory, self.backoffs, self.limits)
+        notice_handler = NoticeHandler(self.directory, self.backoffs, self.limits)
         self.limit_monitor = RateLimitMonitor(self.limits, self.directory, self.log)
         self.notices = EndpointNotices(
-            heard, self.limits, self.limit_monitor, self.dialect, self.log
+            notice_handler, self.limits, self.limit_monitor, self.dialect, self.log
         )
         self.pool.listen(self.notices.receive_head)
         self.cold_starts = ColdStarts(shares, self.configuration)
@@ -139,19 +139,19 @@
 
     def retry_budget(self, service: str) -> RetryBudget:
         """Return the retry budget of a service."""
-        if service not in self._allowances:
-            self._allowances[service] = RetryBudget(self.retry_limits)
-        return self._allowances[service]
+        if service not in self._retry_budgets:
+            self._retry_budgets[service] = RetryBudget(self.retry_limits)
+        return self._retry_budgets[service]
 
     def retry_schedule(self, service: str) -> RetrySchedule:
         """Return the schedule by which refused callers of a service retry."""
-        return self._returns.setdefault(service, RetrySchedule())
+        return self._retry_schedules.setdefault(service, RetrySchedule())
 
     def retries_left(self) -> Iterator[tuple[str, float]]:
         """Yield the remaining retry budget of each service that was called."""
         now = trio.current_time()
-        for service, allowance in self._allowances.items():
-            yield service, allowance.remaining(now, self.gateway_count)
+        for service, budget in self._retry_budgets.items():
+            yield service, budget.remaining(now, self.gateway_count)
 
     def record_success(self, identity: str) -> None:
         """Record an attempt that an endpoint answered successfully."""
--- a/src/piershore/ingress/live_stream.py
+++ b/src/piershore/ingress/live_stream.py
@@ -14,10 +14,10 @@
 from piershore.ingress.callers.exchange import Exchange
 from piershore.ingress.ports import MemoryCopy
 
-BACK_AT_SOURCE_SECONDS = 1.0
+MAX_RETURN_TO_SOURCE_SECONDS = 1.0
 """Time after the notice in which a leaving source may still continue the run that it
 stopped; from 2 s after the notice it must get no new work."""
-BACKUP_SECONDS = 0.8
+BACKUP_COMPLETE_SECONDS = 0.8
 """Time from the first event until a backup is complete: copying a long prompt takes up
 to 0.4 s, and newer memory is sent several times a second."""
 
@@ -40,7 +40,7 @@
 
     def continuation_endpoints(self, now: float) -> tuple[Endpoint, ...]:
         """Return where the stream may continue; at the source only for a short time."""
-        if now - self.noticed_at > BACK_AT_SOURCE_SECONDS:
+        if now - self.noticed_at > MAX_RETURN_TO_SOURCE_SECONDS:
             return (self.target,)
         return self.target, self.source
 
@@ -89,8 +89,8 @@
     @property
     def has_backup(self) -> bool:
         """Whether another endpoint has a complete copy of its memory by now."""
-        begun_for = trio.current_time() - self.endpoint_first_event_at
-        return self.backup is not None and begun_for > BACKUP_SECONDS
+        seconds = trio.current_time() - self.endpoint_first_event_at
+        return self.backup is not None and seconds > BACKUP_COMPLETE_SECONDS
 
     def report(self) -> StreamReport:
         """Return the report that peers get when the endpoint leaves."""
@@ -101,7 +101,7 @@
             self.has_backup,
         )
 
-    def record_events(self, count: int, now: float, tokens_an_event: int) -> None:
+    def record_events(self, count: int, now: float, tokens_per_event: int) -> None:
         """Record events that were forwarded to the caller."""
         if not self.work.has_begun:
             self.work.has_begun = True
@@ -111,7 +111,7 @@
         if self.endpoint_first_event_at == float("inf"):
             self.endpoint_first_event_at = now
         self.last_event_at = now
-        self.work.made_tokens += count * tokens_an_event
+        self.work.made_tokens += count * tokens_per_event
 
 
 def backup_handover(stream: LiveStream) -> Handover:
--- a/src/piershore/ingress/ports.py
+++ b/src/piershore/ingress/ports.py
@@ -94,7 +94,7 @@
         request: CallerRequest,
         body_length: int,
         endpoint: Endpoint,
-        order: ForwardingOptions,
+        options: ForwardingOptions,
     ) -> RequestHead:
         """Return the head of the request to the endpoint."""
 
--- a/src/piershore/platform/headers.py
+++ b/src/piershore/platform/headers.py
@@ -89,31 +89,31 @@
         request: CallerRequest,
         body_length: int,
         endpoint: Endpoint,
-        order: ForwardingOptions,
+        options: ForwardingOptions,
     ) -> RequestHead:
         """Return the head that the endpoint gets."""
         headers = [
             (name, value)
             for name, value in end_to_end(request.head.headers, KEPT_IN_ANY_CASE)
             if name not in OF_THE_SYSTEM
-            and not (order.last_event_id is not None and name == LAST_EVENT_ID)
+            and not (options.last_event_id is not None and name == LAST_EVENT_ID)
         ]
         if body_length or request.head.method not in (b"GET", b"HEAD", b"DELETE"):
             headers.append((b"content-length", _encode(body_length)))
-        milliseconds = max(1, int(order.time_left * 1_000))
+        milliseconds = max(1, int(options.time_left * 1_000))
         headers.append((TIME_LEFT, _encode(milliseconds)))
         headers.append((EXPECTED_ENDPOINT, _encode(endpoint.name)))
-        if order.account is not None:
-            headers.append((ACCOUNT, _encode(order.account.name)))
-        if order.priority is not None:
-            headers.append((PRIORITY, _encode(order.priority)))
-        if order.continue_from is not None:
-            copy = order.continue_from
+        if options.account is not None:
+            headers.append((ACCOUNT, _encode(options.account.name)))
+        if options.priority is not None:
+            headers.append((PRIORITY, _encode(options.priority)))
+        if options.continue_from is not None:
+            copy = options.continue_from
             headers.append((CONTINUE_FROM, _encode(f"{copy.holder}/{copy.name}")))
-        if order.last_event_id is not None:
-            headers.append((LAST_EVENT_ID, _encode(order.last_event_id)))
-        if order.back_up_at is not None:
-            headers.append((BACK_UP_AT, _encode(order.back_up_at)))
+        if options.last_event_id is not None:
+            headers.append((LAST_EVENT_ID, _encode(options.last_event_id)))
+        if options.back_up_at is not None:
+            headers.append((BACK_UP_AT, _encode(options.back_up_at)))
         return RequestHead(request.head.method, request.head.target, tuple(headers))
 
     def is_answer_to(self, request: CallerRequest, head: ResponseHead) -> bool:
