--- a/src/piershore/ingress/attempts/attempt_log.py
+++ b/src/piershore/ingress/attempts/attempt_log.py
@@ -80,7 +80,7 @@
 def record_refusal(
     state: GatewayState, endpoint: Endpoint, error: AttemptFailedError
 ) -> None:
-    """Record that an endpoint rejected a new request, which ejects it briefly."""
+    """Eject an endpoint briefly if it rejected a new request."""
     if error.outcome is AttemptOutcome.REJECTED:
         now = trio.current_time()
         if state.health.record_refusal(endpoint.identity, now):
--- a/src/piershore/ingress/attempts/crash_detector.py
+++ b/src/piershore/ingress/attempts/crash_detector.py
@@ -48,7 +48,7 @@
     def start(self, nursery: trio.Nursery, announce: Callable[[str], None]) -> None:
         """Run checks in a nursery.
 
-        `announce` gets the content of each request whose state peers must know.
+        `announce` gets the digest of each request whose state peers must know.
         """
         self._nursery = nursery
         self._announce = announce
@@ -72,7 +72,7 @@
     def record_removal(self, endpoint: Endpoint) -> None:
         """Treat an endpoint that was removed without a notice as crashed.
 
-        If it still serves, its completed answers clear the suspected requests.
+        If it still serves, the requests that it completes are cleared.
         """
         if endpoint.stage is not EndpointStage.LEAVING:
             self._record_crash(endpoint.identity)
--- a/src/piershore/ingress/callers/caller_service.py
+++ b/src/piershore/ingress/callers/caller_service.py
@@ -28,7 +28,7 @@
 """Sent as Retry-After by a gateway that has just started: reading the configuration
 takes a few milliseconds."""
 TASK_START_CHECKPOINTS = 2
-"""Iterations of the event loop in which a task that was just started runs once."""
+"""Iterations of the event loop until a task that was just started has run once."""
 
 
 class CallerService:
--- a/src/piershore/ingress/calls/call_forwarder.py
+++ b/src/piershore/ingress/calls/call_forwarder.py
@@ -44,8 +44,8 @@
 to another endpoint. The pooled connections to the silent one are closed then, since
 they may be dead too: each of up to 8 would cost another call its whole timeout."""
 MIN_FAILURES_OF_REQUEST = 2
-"""Number of endpoints that answer with a failure from which on the request is at fault
-and not the endpoints."""
+"""If this many endpoints answer a request with a failure, the request is at fault and
+not the endpoints."""
 RETRY_AFTER_SECONDS = 0.25
 """Sent as Retry-After: calls take a few tens of milliseconds, so endpoints have
 capacity again by then."""
--- a/src/piershore/ingress/daemon.py
+++ b/src/piershore/ingress/daemon.py
@@ -63,7 +63,8 @@
 FRESHNESS_SLACK_SECONDS = 1.5
 """Added to the timeout of a watch: an answer counts as fresh up to this age."""
 MIN_LEAVE_SECONDS = 2.6
-"""The platform stops routing to a box after two failed checks, one a second."""
+"""Time until the platform stops routing to this box: it needs two failed checks, one a
+second."""
 STOP_MARGIN_SECONDS = 0.4
 """Time reserved for exiting before the platform kills the process."""
 SWEEP_INTERVAL_SECONDS = 1.0
