--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -329,7 +329,7 @@
     Mutant(
         "a report that is too large is sent as it is",
         "ingress/peers/peer_link.py",
-        "data if is_whole else report.encode_within(LARGEST_DATAGRAM)",
+        "data if is_complete else report.encode_within(MAX_DATAGRAM_BYTES)",
         "data",
         "ingress_documents",
     ),
@@ -399,7 +399,7 @@
     Mutant(
         "peers aren't told of crashes",
         "ingress/peers/crash_reporter.py",
-        "self._nursery.start_soon(self._spread, content)",
+        "self._nursery.start_soon(self._send_to_all, content)",
         "pass",
         "crashing_requests",
     ),
--- a/features/steps/ingress_document_steps.py
+++ b/features/steps/ingress_document_steps.py
@@ -226,7 +226,9 @@
             world.store.put("servers", identity, model.entry("ready"))
         last = LISTED_MORE.format(count - 1)
         with trio.move_on_after(context.seconds):
-            while not all(knows(daemon, last) for _, daemon in world.gateways.values()):
+            while not all(
+                is_known_to(daemon, last) for _, daemon in world.gateways.values()
+            ):
                 await trio.sleep(0.05)
             world.store.put("servers", last, model.entry("draining"))
             while not all(
@@ -237,13 +239,13 @@
         context.knowing = [
             number
             for number, (_, daemon) in world.gateways.items()
-            if knows(daemon, last) and daemon._state.directory.is_leaving(last)
+            if is_known_to(daemon, last) and daemon._state.directory.is_leaving(last)
         ]
 
     context.script = script
 
 
-def knows(daemon, identity):
+def is_known_to(daemon, identity):
     return daemon._state.directory.get(identity) is not None
 
 
--- a/features/steps/ingress_silence_steps.py
+++ b/features/steps/ingress_silence_steps.py
@@ -90,11 +90,11 @@
     context.ingress.run(script)
 
 
-@then("at most {most:d} of {count:d} later calls fails")
-def check_lost(context, most, count):
+@then("at most {maximum:d} of {count:d} later calls fails")
+def check_failed_calls(context, maximum, count):
     statuses = [reply.status for reply in context.replies]
     assert len(statuses) == count
-    assert statuses.count(200) >= count - most, statuses
+    assert statuses.count(200) >= count - maximum, statuses
 
 
 @when("the connections go silent permanently in the middle of a stream")
--- a/features/steps/ingress_store_steps.py
+++ b/features/steps/ingress_store_steps.py
@@ -101,7 +101,7 @@
                 await trio.sleep(0.005)
         context.known = set(filter(directory.get, identities))
         context.registered = set(identities)
-        context.asked = [kind for kind, _ in world.store.watch_times]
+        context.watched_kinds = [kind for kind, _ in world.store.watch_times]
 
     context.ingress.run(script)
 
@@ -111,9 +111,9 @@
     assert context.known == context.registered
 
 
-@then("it requested changes of endpoints at most {most:d} times")
-def check_asked(context, most):
-    assert context.asked.count("servers") <= most, context.asked
+@then("it requested changes of endpoints at most {maximum:d} times")
+def check_change_requests(context, maximum):
+    assert context.watched_kinds.count("servers") <= maximum, context.watched_kinds
 
 
 async def cut_second_from_store(world, fault):
@@ -165,7 +165,7 @@
 
 
 @when("the store returns to an older configuration")
-def go_back(context):
+def restore_older_configuration(context):
     async def script(world):
         world.store.put("config", "main", with_route(8, "added"))
         await wait_served(world, "added")
@@ -182,7 +182,7 @@
 
 
 @when("a call's answer is cut off and the call is cancelled at once")
-def break_and_cancel(context):
+def cut_off_and_cancel(context):
     given_sound(context)
     context.ingress._start_gateways = 0
 
@@ -249,12 +249,12 @@
 
 
 @then("it serves once the store has recovered")
-def check_back(context):
+def check_recovered(context):
     assert context.later.status == 200
 
 
 @when("all entries expire in an outage and one does not return after it")
-def lapse(context):
+def expire_entries(context):
     async def script(world):
         world.store.fault = StoreFault.RESET
         world.store.cut_watches()
@@ -346,12 +346,12 @@
 
 
 @then("it immediately reports that it is not ready")
-def check_unready(context):
+def check_not_ready_at_once(context):
     assert not context.was_ready
 
 
 @then("the stream is completed, and so is a request sent after the stop")
-def check_stopped_whole(context):
+def check_completed(context):
     # The other run is that of a short stream sent after the stop.
     check_stream(context, 2)
     assert context.reply.status == 200
--- a/features/steps/ingress_stream_steps.py
+++ b/features/steps/ingress_stream_steps.py
@@ -24,14 +24,14 @@
 FULL = EndpointLoad(requests=9, held_tokens=33_000, projected_tokens=36_000)
 
 
-STILL_PROCESS_SECONDS = 0.8
+SUSPENSION_SECONDS = 0.8
 """Pause of the whole process, long enough for an endpoint to seem silent."""
 
 
-SILENT_SECONDS = 2.5
+MAX_SILENCE_SECONDS = 2.5
 
 
-NO_ROOM_SECONDS = 0.4
+NO_MEMORY_SECONDS = 0.4
 """Longer than three refusals take, shorter than a notice."""
 
 
@@ -44,25 +44,25 @@
 
 @given("{count:d} engine")
 @given("{count:d} engines")
-@given("{count:d} engines of {habit}")
-@given("{count:d} engines with {habit}")
-@given("{count:d} engine that {habit}")
-@given("{count:d} engines that {habit}")
-def given_engines(context, count, habit=""):
+@given("{count:d} engines of {behavior}")
+@given("{count:d} engines with {behavior}")
+@given("{count:d} engine that {behavior}")
+@given("{count:d} engines that {behavior}")
+def given_engines(context, count, behavior=""):
     faults = {
         "refuse": ["not run"] * 9,
         "breaks inside an event": ["breaks inside an event"],
     }
     context.ingress = IngressWorld()
-    context.ingress.add_endpoints("model", count, faults.get(habit, ()))
-    context.crash_after_copy = "crash" in habit
-    if habit == "a resumable route":
+    context.ingress.add_endpoints("model", count, faults.get(behavior, ()))
+    context.crash_after_copy = "crash" in behavior
+    if behavior == "a resumable route":
         context.ingress.configuration["routes"][2]["stream_resume"] = True
-    if habit == "send invalid answers to moves":
+    if behavior == "send invalid answers to moves":
         for endpoint in context.ingress.endpoints:
             endpoint.move_answer = b"\x00 no answer"
         context.ingress.log_output, context.log = tempfile.mkstemp()
-    if habit == "slow links":
+    if behavior == "slow links":
         engine = context.ingress.configuration["services"][1]["engine"]
         engine["link_mbps"] = SLOW_LINK_MBPS
         for endpoint in context.ingress.endpoints:
@@ -90,11 +90,11 @@
     context.ingress.run(script)
 
 
-async def read_while(world, reading, happening, after=10):
+async def read_while(world, reading, disturb, after=10):
     async with trio.open_nursery() as nursery:
         nursery.start_soon(reading.read)
         await reading.wait_for_events(after)
-        await happening(reading)
+        await disturb(reading)
 
 
 @when("a stream of {count:d} events is read")
@@ -117,10 +117,10 @@
         context.reading = StreamReading(world, count, sizes[size])
         after = 100 if size == "large" else 10
 
-        async def happen(reading):
+        async def disturb(reading):
             await DISTURBANCES[event](world, reading, context.crash_after_copy)
 
-        await read_while(world, context.reading, happen, after)
+        await read_while(world, context.reading, disturb, after)
 
     context.ingress.run(script)
 
@@ -134,13 +134,13 @@
         source.crash()
 
 
-async def leave_without_room(world, reading, crash_after_copy):
+async def leave_without_memory(world, reading, crash_after_copy):
     source = reading.running_endpoint()
-    source.moves_refused_until = trio.current_time() + NO_ROOM_SECONDS
+    source.moves_refused_until = trio.current_time() + NO_MEMORY_SECONDS
     world.list_endpoint(source, "draining")
 
 
-async def drop_from_list(world, reading, crash_after_copy):
+async def remove_from_list(world, reading, crash_after_copy):
     world.store.remove("servers", reading.running_endpoint().identity)
 
 
@@ -154,7 +154,7 @@
 
 
 async def leave_in_outage(world, reading, crash_after_copy):
-    world.asked_before = sum(e.reports for e in world.endpoints)
+    world.probes_before = sum(e.reports for e in world.endpoints)
     world.store.fault = StoreFault.RESET
     world.store.cut_watches()
     await trio.sleep(0.3)
@@ -162,9 +162,9 @@
 
 
 @then("engines were probed only during the outage")
-def check_asked(context):
+def check_probed_in_outage(context):
     world = context.ingress
-    assert world.asked_before == 0
+    assert world.probes_before == 0
     assert sum(e.reports for e in world.endpoints) > 0
 
 
@@ -176,7 +176,7 @@
     world.silent = reading.running_endpoint()
     world.silent.silence = silence
     # Longer than it takes to be probed and given up.
-    with trio.move_on_after(SILENT_SECONDS):
+    with trio.move_on_after(MAX_SILENCE_SECONDS):
         while not any(e.continued["abc"] for e in world.endpoints):
             await trio.sleep(0.01)
 
@@ -190,23 +190,23 @@
     await fall_silent(world, reading, Silence.EVENTS_LOST)
 
 
-async def go_dark(world, reading, crash_after_copy):
+async def stop_responding(world, reading, crash_after_copy):
     await fall_silent(world, reading, Silence.GONE)
 
 
-async def stand_still_midway(world, reading, crash_after_copy):
-    time.sleep(STILL_PROCESS_SECONDS)
+async def suspend_process(world, reading, crash_after_copy):
+    time.sleep(SUSPENSION_SECONDS)
 
 
 DISTURBANCES = {
     "pauses for a long time": pause,
     "sends events that get lost": lose_events,
-    "stops responding": go_dark,
-    "and the gateway are suspended": stand_still_midway,
+    "stops responding": stop_responding,
+    "and the gateway are suspended": suspend_process,
     "announces that it leaves": say_leaving,
-    "is removed from the list": drop_from_list,
+    "is removed from the list": remove_from_list,
     "leaves, and then its target leaves": leave_twice,
-    "leaves, with no memory elsewhere": leave_without_room,
+    "leaves, with no memory elsewhere": leave_without_memory,
     "leaves in a store outage": leave_in_outage,
     "crashes": crash,
 }
@@ -222,14 +222,14 @@
     assert context.ingress.runs("model") == runs
 
 
-@then("its endpoint was probed at least {least:d} and at most {most:d} times")
-def check_questions(context, least, most):
-    asked = sum(e.reports for e in context.ingress.endpoints)
-    assert least <= asked <= most, asked
+@then("its endpoint was probed at least {minimum:d} and at most {maximum:d} times")
+def check_probes(context, minimum, maximum):
+    probes = sum(e.reports for e in context.ingress.endpoints)
+    assert minimum <= probes <= maximum, probes
 
 
 @then("the gateway has logged no internal error")
-def check_no_fault(context):
+def check_no_internal_error(context):
     _, daemon = context.ingress.gateways[0]
     lines = Path(context.log).read_bytes() + b"".join(daemon._log._handler.lines)
     assert b"move_started" in lines
@@ -252,7 +252,7 @@
 
 
 @then("only complete events came and the stream is visibly incomplete")
-def check_whole_events(context):
+def check_complete_events(context):
     reply = context.reading.reply
     assert reply.body == b"id: 1\ndata: token-1\n\n", reply.body
     assert not reply.is_whole
@@ -267,7 +267,7 @@
 
 
 @when("streams are requested while a peer reports that the engines are full")
-def ask_crowded(context):
+def request_while_full(context):
     async def script(world):
         _, daemon = world.gateways[0]
         loads = {engine.identity: FULL for engine in world.endpoints}
@@ -284,7 +284,7 @@
 
 
 @then("the long one is refused at once with a Retry-After header, and has not run")
-def check_crowded(context):
+def check_refused_while_full(context):
     reply = context.reading.reply
     assert reply.status == 503
     assert b"engines_crowded" in reply.body
@@ -294,7 +294,7 @@
 
 
 @when("a stream is requested, and the engines are full for {seconds:g} s more")
-def ask_full_for_now(context, seconds):
+def request_while_briefly_full(context, seconds):
     for route in context.ingress.configuration["routes"]:
         route["target_latency_ms"] = 1_800
 
@@ -302,25 +302,25 @@
         _, daemon = world.gateways[0]
         loads = {engine.identity: FULL for engine in world.endpoints}
         fleet_load = daemon._state.fleet_load
-        asked = trio.current_time()
-        fleet_load.apply_report("10.0.0.9", loads, asked)
+        requested_at = trio.current_time()
+        fleet_load.apply_report("10.0.0.9", loads, requested_at)
         context.reading = StreamReading(world, 200, SMALL_SIZE)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(context.reading.read)
             await trio.sleep(seconds)
             fleet_load.apply_report("10.0.0.9", {}, trio.current_time())
             await context.reading.wait_for_events(1)
-            context.seconds = trio.current_time() - asked
+            context.seconds = trio.current_time() - requested_at
 
     context.ingress.run(script)
 
 
 @then(
-    "it is complete, and its first event came {least:g} to {most:g} s after the request"
+    "it is complete, and its first event came {minimum:g} to {maximum:g} s after the request"
 )
-def check_waited(context, least, most):
+def check_waited(context, minimum, maximum):
     assert context.reading.reply.events == list(range(1, 201))
-    assert least <= context.seconds <= most, context.seconds
+    assert minimum <= context.seconds <= maximum, context.seconds
 
 
 @then("the short one is complete")
@@ -330,7 +330,7 @@
 
 
 @when("a caller disconnects from a stream midway")
-def leave_stream(context):
+def disconnect(context):
     async def script(world):
         reading = StreamReading(world, 400, SMALL_SIZE)
         async with trio.open_nursery() as nursery:
@@ -344,7 +344,7 @@
 
 
 @then("no engine works on it 0.3 seconds later")
-def check_left(context):
+def check_run_ended(context):
     assert context.still_open == 0
 
 
@@ -357,6 +357,6 @@
 
 
 @then("it was not run again, and its caller can see that it is incomplete")
-def check_not_again(context):
+def check_not_rerun(context):
     assert context.ingress.runs("model") == 1, context.ingress.runs("model")
     assert not context.reading.reply.is_whole
--- a/features/support/stream_reading.py
+++ b/features/support/stream_reading.py
@@ -26,8 +26,8 @@
         self._world = world
         self._size = size.format(events * 4)
         self.parts = []
-        self._counted_parts = 0
-        self._seen = 0
+        self._scanned_parts = 0
+        self._event_count = 0
         self._tail = b""
         self.reply = None
         self.pause_after = None
@@ -49,12 +49,12 @@
 
     def count_events(self):
         """Return how many events were received; each chunk is scanned once."""
-        for part in self.parts[self._counted_parts :]:
+        for part in self.parts[self._scanned_parts :]:
             text = self._tail + part
-            self._seen += text.count(EVENT_START)
+            self._event_count += text.count(EVENT_START)
             self._tail = text[1 - len(EVENT_START) :]
-        self._counted_parts = len(self.parts)
-        return self._seen
+        self._scanned_parts = len(self.parts)
+        return self._event_count
 
     async def wait_for_events(self, count):
         while self.count_events() < count:
--- a/src/piershore/ingress/followers/configuration_follower.py
+++ b/src/piershore/ingress/followers/configuration_follower.py
@@ -68,23 +68,23 @@
     async def _decode(self, document: Document) -> dict[str, PartialConfiguration]:
         """Decode the new chunks; reuse the pieces decoded from the others."""
         pieces = {}
-        async for part in with_checkpoints(document.chunks):
-            known = self._pieces.get(part.digest)
-            pieces[part.digest] = known or self._feed.decode_chunk(part)
+        async for chunk in with_checkpoints(document.chunks):
+            known = self._pieces.get(chunk.digest)
+            pieces[chunk.digest] = known or self._feed.decode_chunk(chunk)
         return pieces
 
     async def _read(self) -> StoreRevision:
         document, revision = await self._feed.read()
-        await self._take_from_store(document)
+        await self._apply_from_store(document)
         return revision
 
-    async def _take_changes_after(
+    async def _apply_changes_after(
         self, revision: StoreRevision, wait: float
     ) -> StoreRevision:
         document, reached = await self._feed.changes(revision, wait)
-        await self._take_from_store(document)
+        await self._apply_from_store(document)
         return reached
 
-    async def _take_from_store(self, document: Document | None) -> None:
+    async def _apply_from_store(self, document: Document | None) -> None:
         if document is not None and await self.apply(document, "store"):
             self._state.announce()
--- a/src/piershore/ingress/followers/drain_follower.py
+++ b/src/piershore/ingress/followers/drain_follower.py
@@ -13,7 +13,7 @@
 from piershore.ingress.gateway_state import GatewayState
 from piershore.ingress.ports import DrainFeed
 
-KEPT_SECONDS = 3.0
+LOST_DRAIN_GRACE_SECONDS = 3.0
 """How long a drain stays in force that is missing after the store was restored from an
 older copy: operators write lost drains again. Without this delay, requests would reach
 a data hall that is being emptied until its drain is written again; with it, a data hall
@@ -38,7 +38,7 @@
         self._feed = feed
         self._on_drained = on_drained
         self._view: DrainedHalls | None = None
-        self._kept: dict[str, float] = {}
+        self._lost_until: dict[str, float] = {}
 
     @property
     def view(self) -> DrainedHalls | None:
@@ -57,7 +57,7 @@
 
     def apply_from_peer(self, view: DrainedHalls, host: str) -> None:
         """Apply the view of a peer if it is newer."""
-        if self._take(view, f"peer {host}"):
+        if self._apply(view, f"peer {host}"):
             self._feed.resume_from(view)
 
     async def sweep(self) -> None:
@@ -65,39 +65,45 @@
         while True:
             await trio.sleep(SWEEP_SECONDS)
             before, now = self._in_force(), trio.current_time()
-            self._kept = {hall: at for hall, at in self._kept.items() if at > now}
-            self._tell(before, "lost when the store was restored")
+            self._lost_until = {
+                data_hall: at for data_hall, at in self._lost_until.items() if at > now
+            }
+            self._notify(before, "lost when the store was restored")
 
     async def _read(self) -> StoreRevision:
         view = await self._feed.read()
-        self._take(view, "store")
+        self._apply(view, "store")
         return view.revision
 
-    async def _take_changes_after(
+    async def _apply_changes_after(
         self, revision: StoreRevision, wait: float
     ) -> StoreRevision:
         view = await self._feed.changes(revision, wait)
-        self._take(view, "store")
+        self._apply(view, "store")
         return view.revision
 
-    def _take(self, view: DrainedHalls, source: str) -> bool:
+    def _apply(self, view: DrainedHalls, source: str) -> bool:
         """Apply a view if it is newer; return whether it was."""
         known = self._view
         if known is not None and view.revision <= known.revision:
             return False
         before = self._in_force()
         if known is not None and view.is_of_later_era(known):
-            until = trio.current_time() + KEPT_SECONDS
-            self._kept.update(dict.fromkeys(before - view.data_halls, until))
+            until = trio.current_time() + LOST_DRAIN_GRACE_SECONDS
+            self._lost_until.update(dict.fromkeys(before - view.data_halls, until))
         self._view = view
-        self._tell(before, source)
+        self._notify(before, source)
         return True
 
     def _in_force(self) -> frozenset[str]:
         """Return the drained data halls, including those that the store has lost."""
-        return self._view.data_halls | self._kept.keys() if self._view else frozenset()
-
-    def _tell(self, before: frozenset[str], source: str) -> None:
-        halls = self._in_force()
-        if halls != before:
-            self._on_drained(replace(self._view, data_halls=halls), before, source)
+        return (
+            self._view.data_halls | self._lost_until.keys()
+            if self._view
+            else frozenset()
+        )
+
+    def _notify(self, before: frozenset[str], source: str) -> None:
+        data_halls = self._in_force()
+        if data_halls != before:
+            self._on_drained(replace(self._view, data_halls=data_halls), before, source)
--- a/src/piershore/ingress/followers/endpoint_follower.py
+++ b/src/piershore/ingress/followers/endpoint_follower.py
@@ -17,13 +17,13 @@
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import InvalidEntry
 
-DOUBT_SECONDS = 3.0
+AFTER_OUTAGE_SECONDS = 3.0
 """An entry removed this soon after an outage may only have expired during it."""
 BATCH_SECONDS = 0.03
 """Pause after changes, so that simultaneous ones (engines that leave together) share a
 call. Each call has a cost and each change wakes all watchers; the shortest notice of an
 engine is fifty times longer."""
-FEW_ENDPOINTS = 2
+MIN_EXPIRED_ENDPOINTS = 2
 """If at least so many endpoints of a service, and at least half of all of them, are
 removed at once without notice, they are assumed to have expired: endpoints are replaced
 a few at a time."""
@@ -65,33 +65,35 @@
     ) -> None:
         """Apply a peer's list if it is newer; used without a watch of the store."""
         if revision > self._state.directory.revision:
-            self._take_all(tuple(endpoints), revision, after_outage=False)
+            self._replace_all(tuple(endpoints), revision, after_outage=False)
 
-    def apply_departure(self, note: DepartureReport) -> None:
+    def apply_departure(self, departure: DepartureReport) -> None:
         """Apply a peer's report that an endpoint leaves, was removed or restarted."""
         directory = self._state.directory
-        if note.is_restarted:
-            self.handle_departures(directory.mark_restarted(note.identity))
+        if departure.is_restarted:
+            self.handle_departures(directory.mark_restarted(departure.identity))
             return
-        if not note.is_gone:
-            self.handle_departures(directory.mark_leaving(note.identity))
+        if not departure.is_gone:
+            self.handle_departures(directory.mark_leaving(departure.identity))
             return
         now = trio.current_time()
-        self.handle_departures(directory.remove(note.identity, now, after_outage=False))
+        self.handle_departures(
+            directory.remove(departure.identity, now, after_outage=False)
+        )
 
     async def _read(self) -> StoreRevision:
         endpoints, revision = await self._feed.read()
         for endpoint in endpoints:
             self._state.cold_starts.record_entry(endpoint, trio.current_time())
-        self._take_all(endpoints, revision, after_outage=self._is_after_outage())
+        self._replace_all(endpoints, revision, after_outage=self._is_after_outage())
         self._log_findings()
         return revision
 
-    async def _take_changes_after(
+    async def _apply_changes_after(
         self, revision: StoreRevision, wait: float
     ) -> StoreRevision:
         changes, reached = await self._feed.changes(revision, wait)
-        self._take_changes(changes)
+        self._apply_changes(changes)
         self._state.directory.advance(reached)
         self._log_findings()
         if changes:
@@ -103,9 +105,9 @@
             self._state.log.write(InvalidEntry("endpoint", finding), is_failure=True)
 
     def _is_after_outage(self) -> bool:
-        return self.health.seconds_since_outage() < DOUBT_SECONDS
+        return self.health.seconds_since_outage() < AFTER_OUTAGE_SECONDS
 
-    def _take_all(
+    def _replace_all(
         self,
         endpoints: tuple[Endpoint, ...],
         revision: StoreRevision,
@@ -114,14 +116,14 @@
     ) -> None:
         now = trio.current_time()
         if self._is_known:
-            self._note_starts(endpoints, now)
+            self._record_starts(endpoints, now)
         departures = self._state.directory.replace_all(
             endpoints, revision, now, after_outage=after_outage
         )
         self._is_known = True
         self.handle_departures(departures)
 
-    def _note_starts(self, endpoints: Iterable[Endpoint], now: float) -> None:
+    def _record_starts(self, endpoints: Iterable[Endpoint], now: float) -> None:
         """Record endpoints that weren't known as just started.
 
         A peer's list doesn't say how cold they are.
@@ -130,41 +132,45 @@
             if self._state.directory.get(endpoint.identity) is None:
                 self._state.cold_starts.record_start(endpoint, now)
 
-    def _take_changes(self, changes: tuple[EndpointChange, ...]) -> None:
+    def _apply_changes(self, changes: tuple[EndpointChange, ...]) -> None:
         now = trio.current_time()
-        doubtful = self._lapsed_services(changes)
+        expired_services = self._services_with_expired_entries(changes)
         directory = self._state.directory
         for change in changes:
             if change.endpoint is not None:
                 self._state.cold_starts.record_entry(change.endpoint, now)
                 self.handle_departures(directory.put(change.endpoint))
                 continue
-            known = self._known(change)
+            known = self._listed_endpoint(change)
             if known is None:
                 continue
-            in_doubt = known.service in doubtful or self._is_after_outage()
+            may_have_expired = (
+                known.service in expired_services or self._is_after_outage()
+            )
             self.handle_departures(
-                directory.remove(known.identity, now, after_outage=in_doubt)
+                directory.remove(known.identity, now, after_outage=may_have_expired)
             )
 
-    def _lapsed_services(self, changes: tuple[EndpointChange, ...]) -> set[str]:
+    def _services_with_expired_entries(
+        self, changes: tuple[EndpointChange, ...]
+    ) -> set[str]:
         """Return the services of which too many endpoints are removed at once."""
         directory = self._state.directory
-        going = Counter(
+        removed = Counter(
             known.service
             for change in changes
             if change.endpoint is None
-            and (known := self._known(change)) is not None
+            and (known := self._listed_endpoint(change)) is not None
             and known.stage is EndpointStage.READY
         )
         return {
             service
-            for service, count in going.items()
-            if count >= FEW_ENDPOINTS
+            for service, count in removed.items()
+            if count >= MIN_EXPIRED_ENDPOINTS
             and 2 * count >= sum(1 for _ in directory.of_service(service))
         }
 
-    def _known(self, change: EndpointChange) -> Endpoint | None:
+    def _listed_endpoint(self, change: EndpointChange) -> Endpoint | None:
         """Return the listed endpoint that a change is about, or None."""
         directory = self._state.directory
         return directory.get(directory.identity_of(change.name) or change.name)
--- a/src/piershore/ingress/followers/store_follower.py
+++ b/src/piershore/ingress/followers/store_follower.py
@@ -16,9 +16,9 @@
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import InvalidEntry, StoreReturned
 
-NOT_WATCHING_SECONDS = 0.1
+WATCH_CHECK_SECONDS = 0.1
 """Interval at which a gateway that doesn't watch checks whether it should."""
-WATCH_PARTS = (0.6, 1.0)
+WATCH_JITTER = (0.6, 1.0)
 """Jitter of the watch time, as factors of its maximum: a change wakes all watches
 together, and they should end at different times."""
 
@@ -53,11 +53,11 @@
     ) -> None:
         self._state = state
         self._watch_seconds = watch_seconds
-        self._feed_to_follow = feed
+        self._store_feed = feed
         self._name = name
-        self._reached = StoreRevision()
+        self._last_revision = StoreRevision()
         self._revision: StoreRevision | None = None
-        self._scope: trio.CancelScope | None = None
+        self._cancel_scope: trio.CancelScope | None = None
         self._settled_at = float("-inf")
         self._should_watch: Callable[[], bool] = always
         self.health = StoreHealth(
@@ -78,7 +78,7 @@
         """Follow the store until cancelled."""
         self._settled_at = trio.current_time() + SETTLING_SECONDS
         while True:
-            with trio.CancelScope() as self._scope:
+            with trio.CancelScope() as self._cancel_scope:
                 await self._follow()
 
     def set_watch_condition(self, should_watch: Callable[[], bool]) -> None:
@@ -88,15 +88,15 @@
     def restart(self) -> None:
         """Read the whole state again now, because a peer's differs."""
         self._revision = None
-        if self._scope is not None:
-            self._scope.cancel()
+        if self._cancel_scope is not None:
+            self._cancel_scope.cancel()
 
     @abstractmethod
     async def _read(self) -> StoreRevision:
         """Read and apply the whole state; return its revision."""
 
     @abstractmethod
-    async def _take_changes_after(
+    async def _apply_changes_after(
         self, revision: StoreRevision, wait: float
     ) -> StoreRevision:
         """Wait up to `wait` seconds for changes and apply them.
@@ -111,11 +111,11 @@
                 # gateway that must watch again continues from there instead of reading
                 # the whole state.
                 self._revision = self.known_revision
-                await trio.sleep(NOT_WATCHING_SECONDS)
+                await trio.sleep(WATCH_CHECK_SECONDS)
                 continue
             try:
                 await self._step()
-                self._note_era()
+                self._record_era()
                 self.health.record_success()
             except WatchGapError:
                 self._revision = None
@@ -124,14 +124,14 @@
                 self._revision = None
                 await self.health.back_off(f"{error.code}: {error.message}")
 
-    def _note_era(self) -> None:
+    def _record_era(self) -> None:
         """Log a restore of the store from an older copy, and invalid eras."""
-        finding = self._feed_to_follow.pop_era_finding()
+        finding = self._store_feed.pop_era_finding()
         if finding:
             self._state.log.write(InvalidEntry("store era", finding), is_failure=True)
         if self._revision is None:
             return
-        before, self._reached = self._reached, self._revision
+        before, self._last_revision = self._last_revision, self._revision
         if before and self._revision.era > before.era:
             event = StoreReturned(
                 self._name,
@@ -149,9 +149,9 @@
                 self.health.expect_answer(0.0)
                 self._revision = await self._read()
                 return
-            wait = self._watch_seconds * self._state.random.uniform(*WATCH_PARTS)
+            wait = self._watch_seconds * self._state.random.uniform(*WATCH_JITTER)
             self.health.expect_answer(wait)
-            self._revision = await self._take_changes_after(self._revision, wait)
+            self._revision = await self._apply_changes_after(self._revision, wait)
         finally:
             self.health.clear_expected_answer()
         await self._settle()
@@ -159,6 +159,6 @@
     async def _settle(self) -> None:
         """Pause while it isn't known who else watches and no request is in flight."""
         now = trio.current_time()
-        until = min(self._settled_at, now + SETTLING_PAUSE_SECONDS)
-        while trio.current_time() < until and not self._state.in_flight:
-            await trio.sleep(NOT_WATCHING_SECONDS)
+        deadline = min(self._settled_at, now + SETTLING_PAUSE_SECONDS)
+        while trio.current_time() < deadline and not self._state.in_flight:
+            await trio.sleep(WATCH_CHECK_SECONDS)
--- a/src/piershore/ingress/followers/store_health.py
+++ b/src/piershore/ingress/followers/store_health.py
@@ -11,11 +11,11 @@
 from piershore.telemetry.event_log import EventLog
 from piershore.telemetry.events import DependencyLost, DependencyRegained
 
-FIRST_PAUSE_SECONDS = 0.04
+BASE_BACKOFF_SECONDS = 0.04
 """Base of the backoff: an interrupted watch is resumed almost at once."""
-LONGEST_PAUSE_SECONDS = 0.8
+MAX_BACKOFF_SECONDS = 0.8
 """Maximum backoff: well below 2 s, the shortest bound for a change to be in force."""
-FAILURES_OF_AN_OUTAGE = 2
+MIN_OUTAGE_FAILURES = 2
 """One failure may be an interrupted watch; the second in a row is an outage."""
 
 
@@ -23,12 +23,16 @@
     """Counts consecutive failures of calls, and backs off after each."""
 
     def __init__(
-        self, name: str, random: Random, log: EventLog, heard_at: Callable[[], float]
+        self,
+        name: str,
+        random: Random,
+        log: EventLog,
+        last_received_at: Callable[[], float],
     ) -> None:
         self._name = name
         self._random = random
         self._log = log
-        self._heard_at = heard_at
+        self._last_received_at = last_received_at
         self._failures = 0
         self._failing_since = 0.0
         self._last_outage = float("-inf")
@@ -38,7 +42,7 @@
     @property
     def is_out(self) -> bool:
         """Whether the store seems to be down now."""
-        return self._failures >= FAILURES_OF_AN_OUTAGE
+        return self._failures >= MIN_OUTAGE_FAILURES
 
     def seconds_since_outage(self) -> float:
         """Return the seconds since the last failure in an outage of the store."""
@@ -66,23 +70,25 @@
         An answer that is still being received is neither old nor overdue.
         """
         now = trio.current_time()
-        heard_at = self._heard_at()
-        is_overdue = now - max(self._due_at, heard_at) > OVERDUE_SECONDS
-        return StoreLiveness(now - max(self._last_success, heard_at), is_overdue)
+        last_received_at = self._last_received_at()
+        is_overdue = now - max(self._due_at, last_received_at) > OVERDUE_SECONDS
+        return StoreLiveness(
+            now - max(self._last_success, last_received_at), is_overdue
+        )
 
-    def is_fresh(self, longest: float) -> bool:
+    def is_fresh(self, max_age: float) -> bool:
         """Return whether a call was answered within the last `longest` seconds."""
-        return trio.current_time() - self._last_success < longest
+        return trio.current_time() - self._last_success < max_age
 
     async def back_off(self, reason: str) -> None:
         """Record a failed call, and wait before the next; the wait grows each time."""
         if not self._failures:
             self._failing_since = trio.current_time()
         self._failures += 1
-        if self._failures == FAILURES_OF_AN_OUTAGE:
+        if self._failures == MIN_OUTAGE_FAILURES:
             self._log.write(DependencyLost(self._name, reason), is_failure=True)
         if self.is_out:
             self._last_outage = trio.current_time()
-        longest = FIRST_PAUSE_SECONDS * 2 ** min(self._failures, 10)
-        pause = min(longest, LONGEST_PAUSE_SECONDS)
+        backoff = BASE_BACKOFF_SECONDS * 2 ** min(self._failures, 10)
+        pause = min(backoff, MAX_BACKOFF_SECONDS)
         await trio.sleep(pause * (0.5 + self._random.random() / 2))
--- a/src/piershore/ingress/moves/move_client.py
+++ b/src/piershore/ingress/moves/move_client.py
@@ -11,9 +11,9 @@
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import MoveEnded
 
-MOVE_SECONDS = 2.5
+MOVE_TIMEOUT_SECONDS = 2.5
 """Timeout for one copy; the notice before an endpoint leaves is seldom longer."""
-IDLE_SECONDS = 1.0
+MAX_IDLE_SECONDS = 1.0
 """Maximum idle time of a pooled connection that a move reuses."""
 
 
@@ -32,7 +32,7 @@
         return await self._move(request, handover, is_last=False)
 
     async def stop(
-        self, request: str, handover: Handover, noticed: float
+        self, request: str, handover: Handover, noticed_at: float
     ) -> MoveResult | None:
         """Stop the generation, so that its stream ends and continues at the target.
 
@@ -41,16 +41,16 @@
         """
         handover.run_stopped = True
         result = await self._move(request, handover, is_last=True)
-        ended = "moved" if result else "refused"
-        ingress_metrics.MOVES.labels(ended).inc()
-        self._log_end(request, handover, ended, trio.current_time() - noticed)
+        outcome = "moved" if result else "refused"
+        ingress_metrics.MOVES.labels(outcome).inc()
+        self._log_end(request, handover, outcome, trio.current_time() - noticed_at)
         return result
 
     async def release(self, request: str, handover: Handover, copy: MemoryCopy) -> None:
         """Free the copy of a stream that has ended in the meantime."""
         try:
             source = handover.source
-            async with self._state.pool.borrow(source, IDLE_SECONDS) as connection:
+            async with self._state.pool.borrow(source, MAX_IDLE_SECONDS) as connection:
                 await self._mover.release(connection, copy)
         except (ExchangeBrokenError, NotConnectedError) as error:
             self._log_end(request, handover, error.message, 0.0)
@@ -59,9 +59,11 @@
         self, request: str, handover: Handover, *, is_last: bool
     ) -> MoveResult | None:
         source = handover.source
-        with trio.move_on_after(MOVE_SECONDS):
+        with trio.move_on_after(MOVE_TIMEOUT_SECONDS):
             try:
-                async with self._state.pool.borrow(source, IDLE_SECONDS) as connection:
+                async with self._state.pool.borrow(
+                    source, MAX_IDLE_SECONDS
+                ) as connection:
                     return await self._mover.move(
                         connection,
                         source.address,
--- a/src/piershore/ingress/moves/move_coordinator.py
+++ b/src/piershore/ingress/moves/move_coordinator.py
@@ -37,22 +37,22 @@
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import MoveStarted
 
-NOTES_SECONDS = 0.02
+REPORTS_EXCHANGE_SECONDS = 0.02
 """Wait until all gateways have reported their streams to each other: a datagram takes
 about 1 ms, and a notice reaches all watches within a few ms."""
-RETRY_SECONDS = 0.04
+BEGIN_CHECK_INTERVAL_SECONDS = 0.04
 """Interval between checks whether a generation has begun."""
-STOPPED_RUN_SECONDS = 0.25
+STOPPED_RUN_TIMEOUT_SECONDS = 0.25
 """Maximum wait for the end of a stopped run: it arrives within a few ms, or 0.2 s after
 a lost packet. On a connection that has gone silent permanently it never arrives:
 without this limit, the stream was lost although its memory had been moved."""
-COPY_ATTEMPTS = 3
+MAX_TARGETS_IN_A_ROW = 3
 """Maximum number of targets tried for one stream in a row; a refusal takes a few ms."""
-NO_ROOM_SECONDS = 0.15
+NO_MEMORY_PAUSE_SECONDS = 0.15
 """Pause after as many refusals: where memory is short, engines have capacity again
 several times a second. Of 19 streams that broke in a simulated day, 4 had been refused
 three times within a few ms, with 1.8 s of the notice left."""
-LONGEST_NOTICE_SECONDS = 2.5
+MAX_NOTICE_SECONDS = 2.5
 """How long targets are tried; an endpoint is removed 1.5 to 2.1 s after its notice."""
 
 
@@ -88,7 +88,7 @@
     ) -> None:
         self._state = state
         self._live = live
-        self._calls = MoveClient(state, mover)
+        self._client = MoveClient(state, mover)
         self._nursery: trio.Nursery | None = None
         self._peers: PeerLink | None = None
 
@@ -115,22 +115,24 @@
     def _start(
         self, source: Endpoint, streams: list[LiveStream], reason: MoveReason
     ) -> None:
-        engine = self._engine(source.service)
+        engine = self._engine_of(source.service)
         if engine is None or not engine.can_move or self._nursery is None:
             return
         if not self._state.is_enabled(Mechanism.MOVES):
             return
         evacuation = Evacuation(source, engine, trio.current_time(), reason)
-        self._nursery.start_soon(self._guard, evacuation, streams)
+        self._nursery.start_soon(self._run_evacuation, evacuation, streams)
 
-    async def _guard(self, evacuation: Evacuation, streams: list[LiveStream]) -> None:
+    async def _run_evacuation(
+        self, evacuation: Evacuation, streams: list[LiveStream]
+    ) -> None:
         """Run an evacuation; log an exception instead of letting it end the process."""
         try:
             await self._evacuate(evacuation, streams)
         except Exception as error:
             self._state.log.write_fault("MoveCoordinator", error)
 
-    def _engine(self, service: str) -> EngineSpec | None:
+    def _engine_of(self, service: str) -> EngineSpec | None:
         spec = self._state.configuration.service(service)
         return spec.engine if spec else None
 
@@ -138,7 +140,7 @@
         self, evacuation: Evacuation, streams: list[LiveStream]
     ) -> None:
         await self._peers.send_now()
-        await trio.sleep(NOTES_SECONDS)
+        await trio.sleep(REPORTS_EXCHANGE_SECONDS)
         plan = {move.request: move for move in self._plan(evacuation)}
         async with trio.open_nursery() as nursery:
             for stream in streams:
@@ -147,17 +149,17 @@
 
     def _plan(self, evacuation: Evacuation) -> tuple[PlannedMove, ...]:
         source = evacuation.source
-        notes = {note.request: note for note in self._live.reports(source.identity)}
-        notes.update(
+        reports = {note.request: note for note in self._live.reports(source.identity)}
+        reports.update(
             (n.request, n) for n in self._peers.reported_streams_at(source.identity)
         )
         # A crashed endpoint stays listed for seconds, but is ejected sooner.
         now = trio.current_time()
-        sound = self._state.placement.available_endpoints(source.service, now)
-        targets = choose_targets(source, sound)
+        available = self._state.placement.available_endpoints(source.service, now)
+        targets = choose_targets(source, available)
         loads = {t.identity: self._state.fleet_load.at(t.identity) for t in targets}
         return plan_evacuation(
-            source, notes.values(), targets, loads, evacuation.engine
+            source, reports.values(), targets, loads, evacuation.engine
         )
 
     async def _move(
@@ -173,14 +175,14 @@
             return
         if planned is not None:
             await trio.sleep_until(evacuation.noticed_at + planned.start)
-        if not await self._wait_for_begin(stream, evacuation.source):
+        if not await self._wait_for_first_event(stream, evacuation.source):
             return
         target = planned.target if planned else None
-        until = evacuation.noticed_at + LONGEST_NOTICE_SECONDS
+        deadline = evacuation.noticed_at + MAX_NOTICE_SECONDS
         while not await self._try_targets(stream, evacuation, target):
             target = None
-            await trio.sleep(NO_ROOM_SECONDS)
-            if trio.current_time() > until:
+            await trio.sleep(NO_MEMORY_PAUSE_SECONDS)
+            if trio.current_time() > deadline:
                 return
 
     async def _try_targets(
@@ -188,14 +190,14 @@
     ) -> bool:
         """Try several targets, `target` first; return False if a retry makes sense."""
         tried: list[str] = []
-        target = target or self._choose(stream, evacuation, tried)
-        while target is not None and len(tried) < COPY_ATTEMPTS:
+        target = target or self._choose_target(stream, evacuation, tried)
+        while target is not None and len(tried) < MAX_TARGETS_IN_A_ROW:
             if not self._is_at(stream, evacuation.source):
                 return True
             tried.append(target.identity)
             if await self._move_to(stream, evacuation, target):
                 return True
-            target = self._choose(stream, evacuation, tried)
+            target = self._choose_target(stream, evacuation, tried)
         return not self._is_at(stream, evacuation.source)
 
     async def _move_to(
@@ -216,10 +218,10 @@
             handover.copy = copied.copy
             request = stream.exchange.identity
             if self._is_at(stream, handover.source):
-                await self._calls.stop(request, handover, evacuation.noticed_at)
-                self._nursery.start_soon(self._end_reading, stream, handover)
+                await self._client.stop(request, handover, evacuation.noticed_at)
+                self._nursery.start_soon(self._stop_reading, stream, handover)
             elif not self._live.is_live(stream):
-                await self._calls.release(request, handover, copied.copy)
+                await self._client.release(request, handover, copied.copy)
             return True
         finally:
             self._state.fleet_load.remove(target.identity, reservation)
@@ -227,12 +229,12 @@
             if handover.copy is None and stream.handover is handover:
                 stream.handover = None
 
-    async def _end_reading(self, stream: LiveStream, handover: Handover) -> None:
+    async def _stop_reading(self, stream: LiveStream, handover: Handover) -> None:
         """Stop waiting for the end of a stopped run whose connection is silent.
 
         The target generates again the events that were not received.
         """
-        await trio.sleep(STOPPED_RUN_SECONDS)
+        await trio.sleep(STOPPED_RUN_TIMEOUT_SECONDS)
         is_waiting = self._is_at(stream, handover.source)
         if is_waiting and stream.handover is handover and not stream.is_given_up:
             stream.give_up_endpoint()
@@ -241,7 +243,7 @@
         self, stream: LiveStream, evacuation: Evacuation, handover: Handover
     ) -> bool:
         """Move without a copy before the stop; used when `FIRST_COPIES` is disabled."""
-        result = await self._calls.stop(
+        result = await self._client.stop(
             stream.exchange.identity, handover, evacuation.noticed_at
         )
         handover.copy = result.copy if result else None
@@ -258,36 +260,36 @@
         """Copy the present memory while the stream continues."""
         self._live.begin_copy(stream, handover.source.identity)
         try:
-            return await self._calls.copy(stream.exchange.identity, handover)
+            return await self._client.copy(stream.exchange.identity, handover)
         finally:
             self._live.end_copy(stream)
             await self._peers.send_now()
 
-    async def _wait_for_begin(self, stream: LiveStream, source: Endpoint) -> bool:
+    async def _wait_for_first_event(self, stream: LiveStream, source: Endpoint) -> bool:
         """Wait for the first event; return False if the stream needn't move."""
         while self._is_at(stream, source):
             if not stream.work.is_long:
                 return False
             if stream.work.has_begun:
                 return True
-            await trio.sleep(RETRY_SECONDS)
+            await trio.sleep(BEGIN_CHECK_INTERVAL_SECONDS)
         return False
 
     def _is_at(self, stream: LiveStream, source: Endpoint) -> bool:
         is_there = stream.endpoint.identity == source.identity
         return is_there and self._live.is_live(stream)
 
-    def _choose(
+    def _choose_target(
         self, stream: LiveStream, evacuation: Evacuation, tried: Sequence[str]
     ) -> Endpoint | None:
-        choice = self._state.placement.for_generation(
+        decision = self._state.placement.for_generation(
             evacuation.source.service,
             stream.work,
             evacuation.engine,
             trio.current_time(),
             (evacuation.source.identity, *tried),
         )
-        return choice.endpoint if choice else None
+        return decision.endpoint if decision else None
 
     def _log_start(
         self, stream: LiveStream, evacuation: Evacuation, target: Endpoint
--- a/src/piershore/ingress/peers/crash_reporter.py
+++ b/src/piershore/ingress/peers/crash_reporter.py
@@ -13,15 +13,15 @@
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import RequestHeld
 
-REPEAT_SECONDS = 0.3
+REPEAT_DELAY_SECONDS = 0.3
 """Delay before a report is sent a second time: a datagram may get lost, and a link may
 be down for a moment."""
-RETELL_SECONDS = 1.0
-RETELL_HOSTS = 3
+RESEND_INTERVAL_SECONDS = 1.0
+RESEND_PEERS = 3
 """Number of peers, picked at random, that are sent the quarantined requests again each
 second: a gateway that missed a report, or has just started, learns of them within a few
 seconds. One request of 150 bytes costs 0.5 KB a second for any number of gateways."""
-MOST_TOLD = 8
+MAX_RESENT_REQUESTS = 8
 """Maximum number of requests in one repeated datagram; the others follow in turn."""
 
 
@@ -31,7 +31,7 @@
     def __init__(self, state: GatewayState, link: PeerLink) -> None:
         self._state = state
         self._link = link
-        self._turn = 0
+        self._next_index = 0
         self._nursery: trio.Nursery | None = None
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -42,7 +42,7 @@
     def announce(self, content: str) -> None:
         """Report a crash, a cleared request or a probe to all peers at once."""
         if self._nursery is not None:
-            self._nursery.start_soon(self._spread, content)
+            self._nursery.start_soon(self._send_to_all, content)
 
     def send_to_new_peer(self, host: str) -> None:
         """Send a new peer the quarantined requests; only some gateways do so."""
@@ -50,55 +50,57 @@
         if self._nursery is not None and should_forward(
             peers, self._state.random.random()
         ):
-            self._nursery.start_soon(self._tell_held, [host])
+            self._nursery.start_soon(self._send_quarantined, [host])
 
-    def apply_reports(self, notes: tuple[CrashReport, ...]) -> None:
+    def apply_reports(self, reports: tuple[CrashReport, ...]) -> None:
         """Merge a peer's reports into the quarantine."""
-        for note in notes:
-            self._take(note, trio.current_time())
+        for report in reports:
+            self._apply_report(report, trio.current_time())
         ingress_metrics.QUARANTINED.set(len(self._state.quarantine))
 
-    def _take(self, note: CrashReport, now: float) -> None:
+    def _apply_report(self, report: CrashReport, now: float) -> None:
         quarantine = self._state.quarantine
-        was_held = quarantine.is_quarantined(note.content)
-        if not quarantine.apply_report(note, now):
+        was_quarantined = quarantine.is_quarantined(report.content)
+        if not quarantine.apply_report(report, now):
             return
-        if quarantine.clear_if_completed(note.content, now):
-            self.announce(note.content)
-        if quarantine.is_quarantined(note.content) == was_held:
+        if quarantine.clear_if_completed(report.content, now):
+            self.announce(report.content)
+        if quarantine.is_quarantined(report.content) == was_quarantined:
             return
         event = RequestHeld(
-            note.content,
-            not was_held,
-            tuple(sorted(note.crashed)),
-            quarantine.seconds_until_release(note.content, now),
+            report.content,
+            not was_quarantined,
+            tuple(sorted(report.crashed)),
+            quarantine.seconds_until_release(report.content, now),
         )
         self._state.log.write(event, is_failure=True)
 
     async def run(self) -> None:
         """Send the quarantined requests again periodically, until cancelled."""
         while True:
-            await trio.sleep(RETELL_SECONDS)
+            await trio.sleep(RESEND_INTERVAL_SECONDS)
             hosts = self._link.living_hosts()
-            count = min(RETELL_HOSTS, len(hosts))
-            await self._tell_held(self._state.random.sample(hosts, count))
+            count = min(RESEND_PEERS, len(hosts))
+            await self._send_quarantined(self._state.random.sample(hosts, count))
 
-    async def _spread(self, content: str) -> None:
-        for pause in (0.0, REPEAT_SECONDS):
+    async def _send_to_all(self, content: str) -> None:
+        for pause in (0.0, REPEAT_DELAY_SECONDS):
             await trio.sleep(pause)
-            note = self._state.quarantine.report(content)
-            if note is not None:
-                await self._send([note], self._link.living_hosts())
-
-    async def _tell_held(self, hosts: list[str]) -> None:
-        held = list(self._state.quarantine.quarantined_reports())
-        start = self._turn % len(held) if held else 0
-        told = list(islice(held[start:] + held[:start], MOST_TOLD))
-        self._turn = start + len(told)
-        if told:
-            await self._send(told, hosts)
-
-    async def _send(self, notes: list[CrashReport], hosts: list[str]) -> None:
-        data = encode_reports(notes)
+            report = self._state.quarantine.report(content)
+            if report is not None:
+                await self._send([report], self._link.living_hosts())
+
+    async def _send_quarantined(self, hosts: list[str]) -> None:
+        quarantined = list(self._state.quarantine.quarantined_reports())
+        start = self._next_index % len(quarantined) if quarantined else 0
+        selected = list(
+            islice(quarantined[start:] + quarantined[:start], MAX_RESENT_REQUESTS)
+        )
+        self._next_index = start + len(selected)
+        if selected:
+            await self._send(selected, hosts)
+
+    async def _send(self, reports: list[CrashReport], hosts: list[str]) -> None:
+        data = encode_reports(reports)
         for host in hosts:
             await self._link.send_to(host, data)
--- a/src/piershore/ingress/peers/document_server.py
+++ b/src/piershore/ingress/peers/document_server.py
@@ -20,7 +20,7 @@
 
 DocumentSource = Callable[[], Document | None]
 
-REPLIES_KEPT = 16
+MAX_CACHED_REPLIES = 16
 """Maximum number of cached replies: peers that had the same version before send the
 same request, and building a reply takes about 2 ms of a core."""
 
@@ -64,6 +64,6 @@
         if reply is None:
             reply = ChunksReply.of(document, ChunksRequest.decode(request)).encode()
             self._replies[key] = reply
-            while len(self._replies) > REPLIES_KEPT:
+            while len(self._replies) > MAX_CACHED_REPLIES:
                 del self._replies[next(iter(self._replies))]
         return reply
--- a/src/piershore/ingress/peers/endpoint_document.py
+++ b/src/piershore/ingress/peers/endpoint_document.py
@@ -27,8 +27,8 @@
             entries = [
                 _entry(endpoint) for endpoint in sorted(directory, key=_identity)
             ]
-            parts = tuple(split({FIELD: entries}))
-            self._document = Document(directory.revision, parts)
+            chunks = tuple(split({FIELD: entries}))
+            self._document = Document(directory.revision, chunks)
             self._fingerprint = directory.fingerprint
         if self._document.revision != directory.revision:
             self._document = Document(directory.revision, self._document.chunks)
--- a/src/piershore/ingress/peers/load_update_sender.py
+++ b/src/piershore/ingress/peers/load_update_sender.py
@@ -37,17 +37,17 @@
             self._wake = trio.Event()
             changed, self._changed = self._changed, {}
             for endpoint in changed.values():
-                await self._tell(endpoint)
+                await self._send_update(endpoint)
 
-    async def _tell(self, endpoint: Endpoint) -> None:
-        note = LoadUpdate(
+    async def _send_update(self, endpoint: Endpoint) -> None:
+        update = LoadUpdate(
             self._link.host,
             self._link.incarnation,
             self._link.next_number(),
             endpoint.identity,
             self._state.fleet_load.own(endpoint.identity),
         )
-        data = note.encode()
+        data = update.encode()
         # The set of live peers may change while a datagram is sent.
         for host in tuple(self._state.subsets.sharing_peers(endpoint)):
             ingress_metrics.LOAD_NOTES.inc()
--- a/src/piershore/ingress/peers/outage_prober.py
+++ b/src/piershore/ingress/peers/outage_prober.py
@@ -19,12 +19,12 @@
 from piershore.ingress.peers.peer_link import PeerLink
 from piershore.ingress.ports import EndpointProber
 
-ASK_SECONDS = 0.25
+PROBE_INTERVAL_SECONDS = 0.25
 """Interval between probes of one engine: a report is about 0.5 s old, an engine ends
 1.5 to 2.1 s after its notice, and each probe has a cost."""
-ANSWER_SECONDS = 0.4
+REPORT_TIMEOUT_SECONDS = 0.4
 """Timeout for a report; the next probe follows soon."""
-IDLE_SECONDS = 2.0
+MAX_IDLE_SECONDS = 2.0
 
 
 class OutageProber:
@@ -34,27 +34,27 @@
         self,
         state: GatewayState,
         host: str,
-        reports: EndpointProber,
+        prober: EndpointProber,
         endpoints: EndpointFollower,
         peers: PeerLink,
     ) -> None:
         self._state = state
         self._host = host
-        self._reports = reports
+        self._prober = prober
         self._endpoints = endpoints
         self._peers = peers
 
     async def run(self) -> None:
         """Probe periodically while the store is down for all; run until cancelled."""
         while True:
-            await trio.sleep(ASK_SECONDS)
-            if not self._store_is_out():
+            await trio.sleep(PROBE_INTERVAL_SECONDS)
+            if not self._is_store_down():
                 continue
             async with trio.open_nursery() as nursery:
-                for endpoint in list(self._to_ask()):
-                    nursery.start_soon(self._ask, endpoint)
+                for endpoint in list(self._endpoints_to_probe()):
+                    nursery.start_soon(self._probe, endpoint)
 
-    def _store_is_out(self) -> bool:
+    def _is_store_down(self) -> bool:
         """Return whether no gateway can learn from the store that an engine leaves."""
         if self._peers.store_seems_silent():
             return True
@@ -62,7 +62,7 @@
             self._endpoints.health.is_out and not self._peers.has_peer_reading_store()
         )
 
-    def _to_ask(self) -> Iterator[Endpoint]:
+    def _endpoints_to_probe(self) -> Iterator[Endpoint]:
         hosts = [self._host, *self._peers.living_hosts()]
         for endpoint in self._state.directory:
             spec = self._state.configuration.service(endpoint.service)
@@ -73,17 +73,17 @@
             if self._state.directory.is_drained(endpoint):
                 continue
             has_work = self._state.fleet_load.at(endpoint.identity).requests > 0
-            asker = rendezvous_order(f"ask/{endpoint.identity}", hosts)[0]
-            if has_work and asker == self._host:
+            prober_host = rendezvous_order(f"ask/{endpoint.identity}", hosts)[0]
+            if has_work and prober_host == self._host:
                 yield endpoint
 
-    async def _ask(self, endpoint: Endpoint) -> None:
-        with trio.move_on_after(ANSWER_SECONDS):
+    async def _probe(self, endpoint: Endpoint) -> None:
+        with trio.move_on_after(REPORT_TIMEOUT_SECONDS):
             try:
                 async with self._state.pool.borrow(
-                    endpoint, IDLE_SECONDS
+                    endpoint, MAX_IDLE_SECONDS
                 ) as connection:
-                    report = await self._reports.probe(connection, endpoint.address)
+                    report = await self._prober.probe(connection, endpoint.address)
             except (ExchangeBrokenError, NotConnectedError):
                 # Other faults of the endpoint show up in its traffic.
                 return
--- a/src/piershore/ingress/peers/peer_documents.py
+++ b/src/piershore/ingress/peers/peer_documents.py
@@ -19,13 +19,13 @@
 
 CONFIGURATION_PATH = b"/configuration"
 ENDPOINTS_PATH = b"/endpoints"
-BEHIND_SECONDS = 0.12
+MAX_LAG_SECONDS = 0.12
 """How long the configuration may lag behind a peer's before it is read from there: a
 change reaches all watches within a few tens of ms."""
-DIFFERENT_SECONDS = 0.5
-CHECK_SECONDS = 0.1
-PAUSE_AFTER_MENDING_SECONDS = 0.6
-LEAST_WIDTH = 1.0
+MAX_DIFFERENCE_SECONDS = 0.5
+CHECK_INTERVAL_SECONDS = 0.1
+PAUSE_AFTER_REPAIR_SECONDS = 0.6
+MIN_LINK_MEGABITS = 1.0
 """Minimum weight of a peer in the choice of one, in Mbit/s of its link."""
 
 
@@ -70,42 +70,44 @@
     async def _follow_configuration(self) -> None:
         behind_since: float | None = None
         while True:
-            await trio.sleep(CHECK_SECONDS)
+            await trio.sleep(CHECK_INTERVAL_SECONDS)
             now = trio.current_time()
-            peer = self._ahead_in_configuration(now)
+            peer = self._choose_peer_with_newer_configuration(now)
             if peer is None:
                 behind_since = None
                 continue
             behind_since = behind_since if behind_since is not None else now
-            is_late = now - behind_since > BEHIND_SECONDS
-            if is_late or not self._configuration.is_known:
+            is_overdue = now - behind_since > MAX_LAG_SECONDS
+            if is_overdue or not self._configuration.is_known:
                 await self._read_configuration(peer)
 
     async def _follow_endpoints(self) -> None:
         different_since: float | None = None
         while True:
-            await trio.sleep(CHECK_SECONDS)
+            await trio.sleep(CHECK_INTERVAL_SECONDS)
             now = trio.current_time()
-            peer = self._ahead_in_endpoints(now)
+            peer = self._choose_peer_with_newer_endpoints(now)
             if peer is None:
                 different_since = None
                 continue
             different_since = different_since if different_since is not None else now
-            patience = DIFFERENT_SECONDS if self._link.should_watch() else 0.0
-            is_late = now - different_since >= patience
-            if is_late or not self._endpoints.is_known:
-                await self._mend_endpoints(peer)
-                different_since = now + PAUSE_AFTER_MENDING_SECONDS
+            max_difference = (
+                MAX_DIFFERENCE_SECONDS if self._link.should_watch() else 0.0
+            )
+            is_overdue = now - different_since >= max_difference
+            if is_overdue or not self._endpoints.is_known:
+                await self._repair_endpoints(peer)
+                different_since = now + PAUSE_AFTER_REPAIR_SECONDS
 
-    def _ahead_in_configuration(self, now: float) -> Peer | None:
+    def _choose_peer_with_newer_configuration(self, now: float) -> Peer | None:
         version = self._state.configuration.version
-        return self._pick(
+        return self._choose_peer(
             peer
             for peer in self._link.table.live_peers(now)
             if peer.report.config_version > version
         )
 
-    def _ahead_in_endpoints(self, now: float) -> Peer | None:
+    def _choose_peer_with_newer_endpoints(self, now: float) -> Peer | None:
         """Return a peer with a newer list of endpoints that differs from ours.
 
         While this gateway has no list, one from before an outage is better than none:
@@ -115,7 +117,7 @@
         is_known = self._endpoints.is_known
         own = self._state.directory.fingerprint
         revision = self._state.directory.revision
-        return self._pick(
+        return self._choose_peer(
             peer
             for peer in self._link.table.live_peers(now)
             if (peer.report.reads_store or not is_known)
@@ -123,13 +125,13 @@
             and peer.report.fingerprint != own
         )
 
-    def _pick(self, ahead: Iterable[Peer]) -> Peer | None:
+    def _choose_peer(self, peers: Iterable[Peer]) -> Peer | None:
         """Return a random peer, weighted by the bandwidth of its link."""
-        ahead = list(ahead)
-        if not ahead:
+        peers = list(peers)
+        if not peers:
             return None
-        widths = [max(LEAST_WIDTH, peer.report.link_megabits) for peer in ahead]
-        return self._state.random.choices(ahead, widths)[0]
+        weights = [max(MIN_LINK_MEGABITS, peer.report.link_megabits) for peer in peers]
+        return self._state.random.choices(peers, weights)[0]
 
     async def _read_configuration(self, peer: Peer) -> None:
         own = self._configuration.document
@@ -137,10 +139,10 @@
         if document is not None:
             await self._configuration.apply(document, f"peer {peer.host}")
 
-    async def _mend_endpoints(self, peer: Peer) -> None:
+    async def _repair_endpoints(self, peer: Peer) -> None:
         """Read the store again; without a working watch, read the peer's list."""
-        watches = self._link.should_watch() and not self._endpoints.health.is_out
-        if self._endpoints.is_known and watches:
+        is_watching = self._link.should_watch() and not self._endpoints.health.is_out
+        if self._endpoints.is_known and is_watching:
             self._endpoints.restart()
             return
         own = self._own_endpoints.current() if self._endpoints.is_known else None
--- a/src/piershore/ingress/peers/peer_link.py
+++ b/src/piershore/ingress/peers/peer_link.py
@@ -44,15 +44,15 @@
     ReportShortened,
 )
 
-DEPARTED_SECONDS = 2.0
+DEPARTURE_REPORT_SECONDS = 2.0
 """How long reports name an endpoint as departed: some reports may be lost."""
-MEMBERS_EVERY = 10
+MEMBERS_REPORT_INTERVAL = 10
 """Only each tenth report has the members and the output lengths: in a fleet of 30 they
 are three quarters of a report."""
-MEMBERS_TOLD_SECONDS = 3.0
+MEMBERS_AFTER_CHANGE_SECONDS = 3.0
 """How long each report has the members after the set of live peers has changed."""
-LARGEST_DATAGRAM = 60_000
-PEER_LOAD_SECONDS = 1.0
+MAX_DATAGRAM_BYTES = 60_000
+PEER_LOAD_EXPIRY_SECONDS = 1.0
 """How long a peer's work still counts after the peer has fallen silent."""
 
 
@@ -65,8 +65,8 @@
         settings: BoxSettings,
         live: LiveStreams,
         reads_store: Callable[[], bool],
-        store_sign: Callable[[], StoreLiveness],
-        on_departed: Callable[[DepartureReport], None],
+        store_liveness: Callable[[], StoreLiveness],
+        on_departure: Callable[[DepartureReport], None],
         drains: DrainFollower,
     ) -> None:
         self._state = state
@@ -74,15 +74,15 @@
         self._data_hall = settings.data_hall
         self._link_megabits = settings.link_megabits
         self._port = settings.peer_ports[0]
-        self._grace = settings.stop_grace
+        self._stop_grace = settings.stop_grace
         self._live = live
         self._reads_store = reads_store
-        self._store_sign = store_sign
-        self._on_departed = on_departed
+        self._store_liveness = store_liveness
+        self._on_departure = on_departure
         self._drains = drains
-        self._departed: dict[DepartureReport, float] = {}
-        self._heard: dict[DepartureReport, float] = {}
-        self._wake, self._failed = trio.Event(), trio.Event()
+        self._announced_departures: dict[DepartureReport, float] = {}
+        self._unforwarded_departures: dict[DepartureReport, float] = {}
+        self._wake, self._failure = trio.Event(), trio.Event()
         seeds = [seed.host for seed in settings.seeds]
         self.table = PeerTable(settings.host, seeds, trio.current_time())
         self.incarnation = uuid4().hex[:12]
@@ -92,22 +92,22 @@
         # quarantined or cleared.
         self._rounds = SILENT_PEER_ROUND_INTERVAL - 1
         self._sent_at = float("-inf")
-        self._is_whole = True
+        self._is_complete = True
         self._socket: trio.socket.SocketType | None = None
-        self._living: set[str] = set()
+        self._live_hosts: set[str] = set()
         self._leaving_since: dict[str, float] = {}
-        self._living_changed_at = float("-inf")
-        self._take_crash_notes: Callable[[tuple[CrashReport, ...]], None] = _ignore
-        self._greet: Callable[[str], None] = _ignore
+        self._membership_changed_at = float("-inf")
+        self._apply_crash_reports: Callable[[tuple[CrashReport, ...]], None] = _ignore
+        self._on_new_peer: Callable[[str], None] = _ignore
 
     def set_crash_handlers(
         self,
-        take: Callable[[tuple[CrashReport, ...]], None],
-        greet: Callable[[str], None],
+        apply_reports: Callable[[tuple[CrashReport, ...]], None],
+        on_new_peer: Callable[[str], None],
     ) -> None:
         """Set the callbacks for crash reports of peers and for each new peer's host."""
-        self._take_crash_notes = take
-        self._greet = greet
+        self._apply_crash_reports = apply_reports
+        self._on_new_peer = on_new_peer
 
     async def start(self) -> None:
         """Bind the socket."""
@@ -123,8 +123,8 @@
         """Receive datagrams and apply them, until cancelled."""
         while True:
             try:
-                data, _ = await self._socket.recvfrom(LARGEST_DATAGRAM)
-                self._take_datagram(data)
+                data, _ = await self._socket.recvfrom(MAX_DATAGRAM_BYTES)
+                self._apply_datagram(data)
             except InvalidReportError as error:
                 self._state.log.write(DependencyLost("peers", error.message))
                 continue
@@ -133,29 +133,31 @@
                 self._state.log.write(DependencyLost("peers", str(error)))
                 continue
 
-    def _take_datagram(self, data: bytes) -> None:
+    def _apply_datagram(self, data: bytes) -> None:
         if holds_crash_reports(data):
-            self._take_crash_notes(decode_reports(data))
+            self._apply_crash_reports(decode_reports(data))
         elif LoadUpdate.is_load_update(data):
-            self._take_note(LoadUpdate.decode(data))
+            self._apply_load_update(LoadUpdate.decode(data))
         else:
-            self._take(PeerReport.decode(data))
+            self._apply_report(PeerReport.decode(data))
 
-    def _take_note(self, note: LoadUpdate) -> None:
-        if self._state.is_enabled(Mechanism.PEER_LOADS) and self.table.is_newer(note):
-            self._state.fleet_load.apply_update(note.host, note.endpoint, note.load)
+    def _apply_load_update(self, update: LoadUpdate) -> None:
+        if self._state.is_enabled(Mechanism.PEER_LOADS) and self.table.is_newer(update):
+            self._state.fleet_load.apply_update(
+                update.host, update.endpoint, update.load
+            )
 
     async def send(self) -> None:
         """Send reports regularly and soon after changes, until cancelled."""
         while True:
             await self.send_now()
-            peers = len(self._living)
+            peers = len(self._live_hosts)
             with trio.move_on_after(report_interval(peers)):
-                await self._wait_for_news(triggered_report_interval(peers))
-            self._wake, self._failed = trio.Event(), trio.Event()
+                await self._wait_for_change(triggered_report_interval(peers))
+            self._wake, self._failure = trio.Event(), trio.Event()
             await trio.sleep(MIN_TRIGGERED_INTERVAL_SECONDS)
 
-    async def _wait_for_news(self, gap: float) -> None:
+    async def _wait_for_change(self, gap: float) -> None:
         """Return at once when peers must be informed.
 
         After a failure of an endpoint, return `gap` seconds after the last report.
@@ -166,7 +168,7 @@
             nursery.cancel_scope.cancel()
 
     async def _wait_for_failure(self, gap: float, scope: trio.CancelScope) -> None:
-        await self._failed.wait()
+        await self._failure.wait()
         await trio.sleep_until(self._sent_at + gap)
         scope.cancel()
 
@@ -176,16 +178,18 @@
 
     def announce_failure(self) -> None:
         """Send a report of a failure soon; failures in quick succession share one."""
-        self._failed.set()
+        self._failure.set()
 
-    def announce_departure(self, note: DepartureReport) -> None:
+    def announce_departure(self, departure: DepartureReport) -> None:
         """Report to peers that an endpoint leaves or was removed.
 
         Gateways that detected it do so, and some of those that received a report of it.
         """
-        if note in self._heard:
+        if departure in self._unforwarded_departures:
             return
-        self._departed[note] = trio.current_time() + DEPARTED_SECONDS
+        self._announced_departures[departure] = (
+            trio.current_time() + DEPARTURE_REPORT_SECONDS
+        )
         self._wake.set()
 
     def should_watch(self) -> bool:
@@ -210,7 +214,7 @@
     async def send_now(self) -> None:
         """Send one report to each peer."""
         now = trio.current_time()
-        self._note_living(now)
+        self._update_live_hosts(now)
         self._sent_at = now
         self._rounds += 1
         data = self._encode(self._report(now))
@@ -232,12 +236,12 @@
 
     def _encode(self, report: PeerReport) -> bytes:
         data = report.encode()
-        is_whole = len(data) <= LARGEST_DATAGRAM
-        if is_whole != self._is_whole:
-            self._is_whole = is_whole
-            change = ReportShortened(len(data), LARGEST_DATAGRAM, is_whole)
+        is_complete = len(data) <= MAX_DATAGRAM_BYTES
+        if is_complete != self._is_complete:
+            self._is_complete = is_complete
+            change = ReportShortened(len(data), MAX_DATAGRAM_BYTES, is_complete)
             self._state.log.write(change, is_failure=True)
-        return data if is_whole else report.encode_within(LARGEST_DATAGRAM)
+        return data if is_complete else report.encode_within(MAX_DATAGRAM_BYTES)
 
     def _report(self, now: float) -> PeerReport:
         state = self._state
@@ -251,37 +255,37 @@
             fingerprint=state.directory.fingerprint,
             reads_store=self._reads_store(),
             is_leaving=state.is_leaving,
-            store_liveness=self._store_sign(),
+            store_liveness=self._store_liveness(),
             link_megabits=self._link_megabits,
-            members=self.table.members(now) if self._tells_members(now) else (),
+            members=self.table.members(now) if self._reports_members(now) else (),
             loads=state.fleet_load.own_loads(),
-            leaving=dict(self._leaving_notes()),
-            departed=tuple(self._lately_departed(now)),
+            leaving=dict(self._leaving_reports()),
+            departed=tuple(self._recent_departures(now)),
             outcomes=state.failures.report(now),
             cold=state.cold_starts.report(now),
             rate_limits=state.limits.report(now),
             drained=self._drains.view,
-            lengths=self._told_lengths(now),
+            lengths=self._reported_lengths(now),
         )
 
-    def _told_lengths(self, now: float) -> dict[str, LengthSums]:
-        if self._rounds % MEMBERS_EVERY:
+    def _reported_lengths(self, now: float) -> dict[str, LengthSums]:
+        if self._rounds % MEMBERS_REPORT_INTERVAL:
             return {}
         return self._state.lengths.report(now)
 
-    def _tells_members(self, now: float) -> bool:
-        has_changed = now - self._living_changed_at < MEMBERS_TOLD_SECONDS
-        return has_changed or self._rounds % MEMBERS_EVERY == 0
+    def _reports_members(self, now: float) -> bool:
+        has_changed = now - self._membership_changed_at < MEMBERS_AFTER_CHANGE_SECONDS
+        return has_changed or self._rounds % MEMBERS_REPORT_INTERVAL == 0
 
-    def _lately_departed(self, now: float) -> Iterator[DepartureReport]:
-        _drop_old(self._departed, now)
-        _drop_old(self._heard, now)
-        yield from self._departed
+    def _recent_departures(self, now: float) -> Iterator[DepartureReport]:
+        _drop_expired(self._announced_departures, now)
+        _drop_expired(self._unforwarded_departures, now)
+        yield from self._announced_departures
 
     def living_hosts(self) -> list[str]:
         """Return the hosts of live peers that are not stopping."""
-        living = self.table.live_peers(trio.current_time())
-        return [peer.host for peer in living if not peer.report.is_leaving]
+        live = self.table.live_peers(trio.current_time())
+        return [peer.host for peer in live if not peer.report.is_leaving]
 
     def seconds_until_accepted(self) -> float:
         """Return the seconds until a refused caller finds a gateway that stays.
@@ -293,37 +297,37 @@
         known = [*self._leaving_since.values(), *([own] if own is not None else [])]
         others_stay = bool(self.living_hosts()) or not self._leaving_since
         return retry_after_seconds(
-            known, self._grace, trio.current_time(), others_stay=others_stay
+            known, self._stop_grace, trio.current_time(), others_stay=others_stay
         )
 
     def has_peer_reading_store(self) -> bool:
         """Return whether a live peer reads the store."""
-        living = self.table.live_peers(trio.current_time())
-        return any(peer.report.reads_store for peer in living)
+        live = self.table.live_peers(trio.current_time())
+        return any(peer.report.reads_store for peer in live)
 
     def store_seems_silent(self) -> bool:
         """Return whether the store seems to answer no gateway at all."""
-        return is_store_silent(self._store_signs())
+        return is_store_silent(self._store_liveness_reports())
 
-    def _store_signs(self) -> Iterator[StoreLiveness]:
-        yield self._store_sign()
+    def _store_liveness_reports(self) -> Iterator[StoreLiveness]:
+        yield self._store_liveness()
         now = trio.current_time()
         for peer in self.table.live_peers(now):
-            sign = peer.report.store_liveness
-            age = sign.answer_age + now - peer.report_received_at
-            yield StoreLiveness(age, sign.is_overdue)
+            liveness = peer.report.store_liveness
+            age = liveness.answer_age + now - peer.report_received_at
+            yield StoreLiveness(age, liveness.is_overdue)
 
     def reported_streams_at(self, identity: str) -> Iterator[StreamReport]:
         """Yield the streams that live peers report at a leaving endpoint."""
         for peer in self.table.live_peers(trio.current_time()):
             yield from peer.report.leaving.get(identity, ())
 
-    def _leaving_notes(self) -> Iterator[tuple[str, tuple[StreamReport, ...]]]:
+    def _leaving_reports(self) -> Iterator[tuple[str, tuple[StreamReport, ...]]]:
         for identity in self._live.endpoints():
             if self._state.directory.is_leaving(identity):
                 yield identity, tuple(self._live.reports(identity))
 
-    def _take(self, report: PeerReport) -> None:
+    def _apply_report(self, report: PeerReport) -> None:
         now = trio.current_time()
         if not self.table.apply_report(report, now):
             return
@@ -344,42 +348,45 @@
             endpoint = self._state.directory.get(identity)
             if endpoint is not None:
                 eject_on_shared_failures(self._state, endpoint)
-        for note in report.departed:
-            if note in self._departed or note in self._heard:
+        for departure in report.departed:
+            if (
+                departure in self._announced_departures
+                or departure in self._unforwarded_departures
+            ):
                 continue
-            if not should_forward(len(self._living), self._state.random.random()):
-                self._heard[note] = now + DEPARTED_SECONDS
-            self._on_departed(note)
-
-    def _note_living(self, now: float) -> None:
-        living = {peer.host for peer in self.table.live_peers(now)}
-        for host in living - self._living:
-            self._greet(host)
+            if not should_forward(len(self._live_hosts), self._state.random.random()):
+                self._unforwarded_departures[departure] = now + DEPARTURE_REPORT_SECONDS
+            self._on_departure(departure)
+
+    def _update_live_hosts(self, now: float) -> None:
+        live = {peer.host for peer in self.table.live_peers(now)}
+        for host in live - self._live_hosts:
+            self._on_new_peer(host)
             self._state.log.write(DependencyRegained(f"peer {host}", 0.0))
-        for host in self._living - living:
+        for host in self._live_hosts - live:
             self._state.log.write(DependencyLost(f"peer {host}", "silent"))
-        if living != self._living:
-            self._living_changed_at = now
-            self._forget_returned(now)
-        self._living = living
+        if live != self._live_hosts:
+            self._membership_changed_at = now
+            self._drop_returned(now)
+        self._live_hosts = live
         self._state.subsets.set_peers(self.living_hosts())
-        self._state.gateway_count = len(living) + 1
-        ingress_metrics.PEERS.set(len(living))
-        counts_for = peer_timeout(len(self.table)) + PEER_LOAD_SECONDS
-        self._state.fleet_load.forget_peers(now - counts_for)
+        self._state.gateway_count = len(live) + 1
+        ingress_metrics.PEERS.set(len(live))
+        expiry = peer_timeout(len(self.table)) + PEER_LOAD_EXPIRY_SECONDS
+        self._state.fleet_load.forget_peers(now - expiry)
 
-    def _forget_returned(self, now: float) -> None:
+    def _drop_returned(self, now: float) -> None:
         """Drop stopping gateways that must have returned by now, or never will."""
-        longest = self._grace + RESTART_SECONDS
+        max_absence = self._stop_grace + RESTART_SECONDS
         for host, since in list(self._leaving_since.items()):
-            if now - since > longest:
+            if now - since > max_absence:
                 del self._leaving_since[host]
 
 
-def _ignore(news: object) -> None:
+def _ignore(value: object) -> None:
     """Ignore crash reports and new peers until handlers are set."""
 
 
-def _drop_old(notes: dict[DepartureReport, float], now: float) -> None:
-    for note in [note for note, until in notes.items() if until < now]:
-        del notes[note]
+def _drop_expired(departures: dict[DepartureReport, float], now: float) -> None:
+    for departure in [d for d, until in departures.items() if until < now]:
+        del departures[departure]
--- a/src/piershore/ingress/streams/silence_watch.py
+++ b/src/piershore/ingress/streams/silence_watch.py
@@ -25,25 +25,25 @@
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import StreamSilent
 
-CHECK_SECONDS = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 """Interval between checks of all streams; a check takes a few microseconds a stream."""
-SHORTEST_SILENCE_SECONDS = 0.3
+MIN_SILENCE_SECONDS = 0.3
 """Shorter pauses occur when the engine reads other prompts beside the stream."""
-ANSWER_SECONDS = 0.5
+REPORT_TIMEOUT_SECONDS = 0.5
 """Timeout for a report, which takes a few ms: twice the retransmission time of a lost
 packet."""
-ASK_AGAIN_SECONDS = 1.0
+PROBE_INTERVAL_SECONDS = 1.0
 """Interval between probes of an endpoint that answers: each probe has a cost."""
-IDLE_SECONDS = 1.0
+MAX_IDLE_SECONDS = 1.0
 """Maximum idle time of a pooled connection that a probe reuses."""
 
 
 @dataclass
-class _Inquiry:
+class _EndpointProbes:
     """The probes of one endpoint; the next one may be sent at `next_at`."""
 
-    is_asking: bool = False
-    unanswered: int = 0
+    is_running: bool = False
+    unanswered_count: int = 0
     next_at: float = float("-inf")
 
 
@@ -55,26 +55,26 @@
         state: GatewayState,
         live: LiveStreams,
         moves: MoveCoordinator,
-        reports: EndpointProber,
+        prober: EndpointProber,
     ) -> None:
         self._state = state
         self._live = live
         self._moves = moves
-        self._reports = reports
-        self._inquiries: dict[str, _Inquiry] = {}
-        self._awake_since = float("-inf")
+        self._prober = prober
+        self._probes: dict[str, _EndpointProbes] = {}
+        self._resumed_at = float("-inf")
 
     async def run(self) -> None:
         """Check all streams periodically, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                due = trio.current_time() + CHECK_SECONDS
+                due = trio.current_time() + CHECK_INTERVAL_SECONDS
                 await trio.sleep_until(due)
                 now = trio.current_time()
                 if was_paused(due, now):
-                    self._awake_since = now
+                    self._resumed_at = now
                 for streams in self._silent_by_endpoint(now):
-                    nursery.start_soon(self._inquire, streams[0].endpoint)
+                    nursery.start_soon(self._probe, streams[0].endpoint)
 
     def _silent_by_endpoint(self, now: float) -> Iterator[list[LiveStream]]:
         """Yield the silent streams of each endpoint that may be probed now."""
@@ -82,13 +82,13 @@
         for stream in self._live:
             if self._is_silent(stream, now):
                 silent[stream.endpoint.identity].append(stream)
-        for identity in self._inquiries.keys() - silent.keys():
-            if not self._inquiries[identity].is_asking:
-                del self._inquiries[identity]
+        for identity in self._probes.keys() - silent.keys():
+            if not self._probes[identity].is_running:
+                del self._probes[identity]
         for identity, streams in silent.items():
-            inquiry = self._inquiries.setdefault(identity, _Inquiry())
-            if not inquiry.is_asking and now >= inquiry.next_at:
-                inquiry.is_asking = True
+            probes = self._probes.setdefault(identity, _EndpointProbes())
+            if not probes.is_running and now >= probes.next_at:
+                probes.is_running = True
                 yield streams
 
     def _is_silent(self, stream: LiveStream, now: float) -> bool:
@@ -101,31 +101,31 @@
         if directory.is_leaving(identity) or directory.is_drained(stream.endpoint):
             return False
         limit = self._state.paces.longest_pause(identity)
-        began = max(stream.waiting_since, self._awake_since)
-        return now - began > max(SHORTEST_SILENCE_SECONDS, limit)
+        silent_since = max(stream.waiting_since, self._resumed_at)
+        return now - silent_since > max(MIN_SILENCE_SECONDS, limit)
 
-    async def _inquire(self, endpoint: Endpoint) -> None:
-        inquiry = self._inquiries[endpoint.identity]
-        asked_at = trio.current_time()
+    async def _probe(self, endpoint: Endpoint) -> None:
+        probes = self._probes[endpoint.identity]
+        probed_at = trio.current_time()
         try:
-            report = await self._ask(endpoint)
+            report = await self._fetch_report(endpoint)
         finally:
-            inquiry.is_asking = False
+            probes.is_running = False
         if report is not None:
             self._state.notices.receive_report(endpoint, report)
         now = trio.current_time()
-        is_alive = self._state.paces.last_chunk_at(endpoint.identity) > asked_at
+        is_alive = self._state.paces.last_chunk_at(endpoint.identity) > probed_at
         if report is not None or is_alive:
-            inquiry.unanswered = 0
-            inquiry.next_at = now + ASK_AGAIN_SECONDS
+            probes.unanswered_count = 0
+            probes.next_at = now + PROBE_INTERVAL_SECONDS
         else:
-            inquiry.unanswered += 1
-            await self._leave_out(endpoint, now)
+            probes.unanswered_count += 1
+            await self._eject(endpoint, now)
         for stream in self._live.running_at(endpoint.identity):
             if self._is_silent(stream, now):
-                await self._judge(stream, report, inquiry.unanswered)
+                await self._handle_silence(stream, report, probes.unanswered_count)
 
-    async def _leave_out(self, endpoint: Endpoint, now: float) -> None:
+    async def _eject(self, endpoint: Endpoint, now: float) -> None:
         """Eject an endpoint that doesn't answer and drop its pooled connections.
 
         On a pooled connection, a request would wait until its deadline; opening a new
@@ -135,56 +135,56 @@
             log_ejection(self._state, endpoint, "silence")
         await self._state.pool.drop(endpoint.address)
 
-    async def _ask(self, endpoint: Endpoint) -> EndpointReport | None:
+    async def _fetch_report(self, endpoint: Endpoint) -> EndpointReport | None:
         """Return the endpoint's report; None if it doesn't answer in time.
 
         An endpoint that refuses the connection or breaks the exchange is reachable: if
         it has lost its streams, their connections break without further action.
         """
-        with trio.move_on_after(ANSWER_SECONDS):
+        with trio.move_on_after(REPORT_TIMEOUT_SECONDS):
             try:
                 async with self._state.pool.borrow(
-                    endpoint, IDLE_SECONDS
+                    endpoint, MAX_IDLE_SECONDS
                 ) as connection:
-                    return await self._reports.probe(connection, endpoint.address)
+                    return await self._prober.probe(connection, endpoint.address)
             except NotConnectedError as error:
-                return None if error.timed_out else NOTHING_TOLD
+                return None if error.timed_out else EMPTY_REPORT
             except ExchangeBrokenError:
-                return NOTHING_TOLD
+                return EMPTY_REPORT
         return None
 
-    async def _judge(
+    async def _handle_silence(
         self, stream: LiveStream, report: EndpointReport | None, unanswered: int
     ) -> None:
-        seen = SilentStream(
+        silent = SilentStream(
             stream.exchange.identity,
             stream.delivered.last_number or 0,
-            await self._can_go_on_elsewhere(stream),
+            await self._can_continue_elsewhere(stream),
             stream.endpoint.born,
         )
         now = trio.current_time()
         if not self._is_silent(stream, now):
             return
-        verdict = evaluate_silence(seen, report, unanswered)
-        ingress_metrics.SILENCES.labels(verdict).inc()
+        decision = evaluate_silence(silent, report, unanswered)
+        ingress_metrics.SILENCES.labels(decision).inc()
         self._state.log.write(
             StreamSilent(
-                seen.request,
+                silent.request,
                 stream.endpoint.identity,
                 now - stream.waiting_since,
                 self._state.paces.longest_pause(stream.endpoint.identity),
                 report is not None,
-                verdict,
-                seen.last_event,
+                decision,
+                silent.last_event,
             ),
-            is_failure=verdict is not SilenceDecision.WAIT,
+            is_failure=decision is not SilenceDecision.WAIT,
         )
-        if verdict is SilenceDecision.MOVE:
+        if decision is SilenceDecision.MOVE:
             self._moves.evacuate_one(stream, MoveReason.EVENTS_LOST)
-        elif verdict is SilenceDecision.GIVE_UP:
+        elif decision is SilenceDecision.GIVE_UP:
             stream.give_up_endpoint()
 
-    async def _can_go_on_elsewhere(self, stream: LiveStream) -> bool:
+    async def _can_continue_elsewhere(self, stream: LiveStream) -> bool:
         """Return whether the stream can continue at an endpoint that can be reached.
 
         A network partition that hides its endpoint may hide its backup too, and may
@@ -197,5 +197,5 @@
         return await self._state.pool.can_connect(stream.backup.address)
 
 
-NOTHING_TOLD = EndpointReport(is_leaving=False, generated_events={})
+EMPTY_REPORT = EndpointReport(is_leaving=False, generated_events={})
 """Stands for an endpoint that is reachable but reported nothing of its generations."""
--- a/src/piershore/ingress/streams/stream_continuation.py
+++ b/src/piershore/ingress/streams/stream_continuation.py
@@ -17,12 +17,12 @@
 from piershore.ingress.streams.stream_placement import StreamPlacement
 from piershore.telemetry.events import StreamContinued
 
-MOST_RUNS_ANEW = 2
+MAX_RERUNS = 2
 """Maximum number of endpoints that run a resumable stream again after one break."""
-LONGEST_WAIT_SECONDS = 1.0
+MAX_WAIT_SECONDS = 1.0
 """Maximum wait for an endpoint that has asked for backoff or is rate limited: callers
 give up a stream after a pause of 2 s, and the copy is stored nowhere else."""
-HANDOVER_SECONDS = 3.0
+HANDOVER_TIMEOUT_SECONDS = 3.0
 """Maximum wait for a move that was in progress when the old stream ended."""
 
 
@@ -37,12 +37,12 @@
         self,
         state: GatewayState,
         moves: MoveCoordinator,
-        memory: StreamPlacement,
+        placement: StreamPlacement,
         stream: LiveStream,
     ) -> None:
         self._state = state
         self._moves = moves
-        self._memory = memory
+        self._placement = placement
         self._stream = stream
         self.failure = ""
 
@@ -53,30 +53,30 @@
         """
         stream = self._stream
         if stream.handover is not None:
-            attempt = await self._go_on(stream.handover)
+            attempt = await self._continue_with(stream.handover)
             if attempt is not None:
                 return attempt
             self.failure = "; the move failed"
         if stream.has_backup:
-            attempt = await self._go_on(backup_handover(stream))
+            attempt = await self._continue_with(backup_handover(stream))
             if attempt is not None:
                 return attempt
             self.failure += "; the backup failed"
         if stream.exchange.route.is_resumable:
-            return await self._run_anew()
+            return await self._rerun()
         return None
 
-    async def _run_anew(self) -> EndpointAttempt | None:
+    async def _rerun(self) -> EndpointAttempt | None:
         """Run a resumable stream again elsewhere; it resumes after its last event."""
         exchange = self._stream.exchange
         service = exchange.route.service_for(exchange.identity)
         tried = [self._stream.endpoint.identity]
-        while service is not None and len(tried) <= MOST_RUNS_ANEW:
-            choice = self._memory.choose(service, tried, trio.current_time())
-            if choice is None or not self._state.spend_retry(service):
+        while service is not None and len(tried) <= MAX_RERUNS:
+            decision = self._placement.choose(service, tried, trio.current_time())
+            if decision is None or not self._state.spend_retry(service):
                 break
-            endpoint = choice.endpoint
-            log_attempt(self._state, exchange, choice, len(tried) + 1)
+            endpoint = decision.endpoint
+            log_attempt(self._state, exchange, decision, len(tried) + 1)
             attempt = await self._resume_at(endpoint, None)
             if attempt is not None:
                 return attempt
@@ -84,7 +84,7 @@
         self.failure += "; no endpoint ran it again"
         return None
 
-    async def _go_on(self, handover: Handover) -> EndpointAttempt | None:
+    async def _continue_with(self, handover: Handover) -> EndpointAttempt | None:
         """Continue at the target, or else at the source that stopped the run."""
         if handover.copy is not None:
             attempt = await self._resume_at(handover.target, handover.copy)
@@ -92,7 +92,7 @@
                 return attempt
         if not handover.run_stopped:
             return None
-        with trio.move_on_after(HANDOVER_SECONDS):
+        with trio.move_on_after(HANDOVER_TIMEOUT_SECONDS):
             await handover.is_settled.wait()
         if handover.copy is None:
             # Without a copy, the endpoint would run the request a second time.
@@ -109,11 +109,11 @@
         """Send the request with its last event ID and the copy to continue from."""
         if self._state.directory.is_drained(endpoint):
             return None
-        await self._wait_for(endpoint)
+        await self._wait_until_available(endpoint)
         exchange = self._stream.exchange
         last = self._stream.delivered.last_number
-        backup = self._memory.choose_backup(endpoint, trio.current_time())
-        order = exchange.forwarding_options(
+        backup = self._placement.choose_backup(endpoint, trio.current_time())
+        options = exchange.forwarding_options(
             priority=exchange.priority,
             continue_from=copy,
             back_up_at=backup.address if backup else None,
@@ -122,7 +122,7 @@
         attempt = EndpointAttempt(self._state, exchange, endpoint, MAX_IDLE_SECONDS)
         is_open = False
         try:
-            answer = await attempt.start(order)
+            answer = await attempt.start(options)
             if not answer.is_success:
                 raise AttemptFailedError(
                     AttemptOutcome.FAILED_ANSWER, f"status {answer.status}"
@@ -134,25 +134,25 @@
         finally:
             if not is_open:
                 await attempt.close()
-        self._settle_at(endpoint, backup)
+        self._continue_at(endpoint, backup)
         return attempt
 
-    async def _wait_for(self, endpoint: Endpoint) -> None:
+    async def _wait_until_available(self, endpoint: Endpoint) -> None:
         """Wait until an endpoint accepts work, if that is soon.
 
         Otherwise return at once: the attempt then fails before the request is sent.
         """
-        left = self._state.placement.seconds_until_available(
+        seconds_left = self._state.placement.seconds_until_available(
             endpoint, trio.current_time()
         )
-        if left <= LONGEST_WAIT_SECONDS:
-            await trio.sleep(left)
+        if seconds_left <= MAX_WAIT_SECONDS:
+            await trio.sleep(seconds_left)
 
-    def _settle_at(self, endpoint: Endpoint, backup: Endpoint | None) -> None:
+    def _continue_at(self, endpoint: Endpoint, backup: Endpoint | None) -> None:
         """Record that the stream now runs at another endpoint."""
         stream = self._stream
-        self._memory.place(endpoint)
-        self._memory.place_backup(backup)
+        self._placement.place(endpoint)
+        self._placement.place_backup(backup)
         stream.continue_at(endpoint, backup)
         self._state.log.write(
             StreamContinued(
--- a/src/piershore/ingress/streams/stream_forwarder.py
+++ b/src/piershore/ingress/streams/stream_forwarder.py
@@ -22,7 +22,7 @@
 from piershore.telemetry import ingress_metrics
 from piershore.telemetry.events import RequestAnswered, StreamBrokenOff
 
-UNKNOWN_SIZE = GenerationSize(1_000, 1_000)
+DEFAULT_SIZE = GenerationSize(1_000, 1_000)
 """Size assumed for a request that doesn't state its own, in tokens."""
 
 
@@ -38,16 +38,16 @@
 
     async def serve(self, exchange: Exchange) -> None:
         """Answer one request, or raise `RequestRefusedError` before the first byte."""
-        size = exchange.request.size or UNKNOWN_SIZE
+        size = exchange.request.size or DEFAULT_SIZE
         work = self._expected_work(exchange, size)
-        memory = StreamPlacement(self._state, exchange, work)
-        opening = StreamOpening(self._state, exchange, memory)
+        placement = StreamPlacement(self._state, exchange, work)
+        opening = StreamOpening(self._state, exchange, placement)
         try:
             with trio.move_on_at(exchange.deadline):
-                await self._serve(exchange, memory, opening)
+                await self._serve(exchange, placement, opening)
                 return
         finally:
-            memory.release()
+            placement.release()
         if not exchange.connection.response_started:
             raise opening.refusal(timed_out=True)
         exchange.connection.must_close = True
@@ -61,26 +61,28 @@
         return GenerationWork(size, estimate, self._state.expectation)
 
     async def _serve(
-        self, exchange: Exchange, memory: StreamPlacement, opening: StreamOpening
+        self, exchange: Exchange, placement: StreamPlacement, opening: StreamOpening
     ) -> None:
         attempt = await opening.open()
         if not attempt.answer.is_success:
-            await self._pass_failure(exchange, attempt)
+            await self._forward_failure(exchange, attempt)
             return
-        stream = LiveStream(exchange, attempt.endpoint, memory.work)
-        stream.backup = memory.backup
+        stream = LiveStream(exchange, attempt.endpoint, placement.work)
+        stream.backup = placement.backup
         self._live.add(stream)
         try:
             if self._state.directory.is_leaving(attempt.endpoint.identity):
                 self._moves.evacuate_one(stream)
-            await self._relay_all(stream, memory, attempt)
-            self._note_answered(stream, opening.attempts)
+            await self._relay_all(stream, placement, attempt)
+            self._record_answered(stream, opening.attempts)
         except AttemptFailedError as error:
             self._break_off(stream, error.message)
         finally:
             self._live.remove(stream)
 
-    async def _pass_failure(self, exchange: Exchange, attempt: EndpointAttempt) -> None:
+    async def _forward_failure(
+        self, exchange: Exchange, attempt: EndpointAttempt
+    ) -> None:
         """Forward an endpoint's error response unchanged."""
         try:
             body = await attempt.read_body()
@@ -97,7 +99,7 @@
         await exchange.connection.respond(attempt.answer.status, headers, body)
 
     async def _relay_all(
-        self, stream: LiveStream, memory: StreamPlacement, attempt: EndpointAttempt
+        self, stream: LiveStream, placement: StreamPlacement, attempt: EndpointAttempt
     ) -> None:
         """Relay events from one endpoint after the other until the stream is complete.
 
@@ -105,17 +107,19 @@
         """
         relay = StreamRelay(self._state, stream)
         while (reason := await relay.run(attempt)) is not None:
-            way = StreamContinuation(self._state, self._moves, memory, stream)
-            attempt = await way.resume()
+            continuation = StreamContinuation(
+                self._state, self._moves, placement, stream
+            )
+            attempt = await continuation.resume()
             if attempt is None:
                 outcome = AttemptOutcome.BROKEN_OFF
-                raise AttemptFailedError(outcome, f"{reason}{way.failure}")
+                raise AttemptFailedError(outcome, f"{reason}{continuation.failure}")
         if not stream.exchange.connection.response_started:
             raise AttemptFailedError(AttemptOutcome.BROKEN_OFF, "no event was received")
         attempt.record_served()
         await stream.exchange.connection.finish()
 
-    def _note_answered(self, stream: LiveStream, attempts: int) -> None:
+    def _record_answered(self, stream: LiveStream, attempts: int) -> None:
         exchange = stream.exchange
         self._state.record_success(stream.endpoint.identity)
         work, route = stream.work, exchange.route.name
--- a/src/piershore/ingress/streams/stream_opening.py
+++ b/src/piershore/ingress/streams/stream_opening.py
@@ -32,10 +32,10 @@
 MAX_IDLE_SECONDS = 1.0
 """Maximum idle time of a pooled connection that a stream reuses; the same as for calls
 that must run at most once."""
-COME_BACK_SPREAD = (0.75, 1.25)
+RETRY_AFTER_JITTER = (0.75, 1.25)
 """Jitter for `Retry-After` when engines are overloaded: factors of the projected
 time."""
-COME_BACK_SECONDS = 0.4
+MIN_RETRY_AFTER_SECONDS = 0.4
 """Minimum `Retry-After` of other refusals: the duration of a short generation."""
 
 
@@ -43,11 +43,11 @@
     """Sends a stream's request until one endpoint answers."""
 
     def __init__(
-        self, state: GatewayState, exchange: Exchange, memory: StreamPlacement
+        self, state: GatewayState, exchange: Exchange, placement: StreamPlacement
     ) -> None:
         self._state = state
         self._exchange = exchange
-        self._memory = memory
+        self._placement = placement
         self._outcomes: list[AttemptOutcome] = []
         self._last_attempt: EndpointAttempt | None = None
 
@@ -65,18 +65,18 @@
         self._state.retry_budget(service).record_request(trio.current_time())
         tried: list[str] = []
         while True:
-            choice = await self._choose_with_room(service, tried)
-            if choice is None:
+            decision = await self._choose_with_memory(service, tried)
+            if decision is None:
                 raise self.refusal()
-            if not self._memory.fits(choice):
-                raise self._crowded(choice)
-            tried.append(choice.endpoint.identity)
-            attempt = await self._attempt(choice, len(tried))
+            if not self._placement.fits(decision):
+                raise self._overload_refusal(decision)
+            tried.append(decision.endpoint.identity)
+            attempt = await self._attempt(decision, len(tried))
             if attempt is not None:
                 return attempt
-            self._check_may_go_on(service)
+            self._check_can_retry(service)
 
-    async def _choose_with_room(
+    async def _choose_with_memory(
         self, service: str, tried: list[str]
     ) -> PlacementDecision | None:
         """Return a choice that has memory; without one in time, the last choice.
@@ -84,20 +84,20 @@
         None means that there is no endpoint, or that none accepts work in time.
         """
         wait = MemoryWait(self._state.random)
-        until = self._exchange.arrived
+        deadline = self._exchange.arrived
         if self._state.is_enabled(Mechanism.WAITING):
-            until += max_memory_wait_seconds(self._exchange.route.target_latency)
+            deadline += max_memory_wait_seconds(self._exchange.route.target_latency)
         while True:
-            choice = self._memory.choose(service, tried, trio.current_time())
-            if choice is None:
-                pause = self._seconds_left(service)
+            decision = self._placement.choose(service, tried, trio.current_time())
+            if decision is None:
+                pause = self._seconds_until_available(service)
             else:
-                pause = wait.next_pause(has_memory=self._memory.fits(choice))
-            if pause is None or trio.current_time() + pause > until:
-                return choice
+                pause = wait.next_pause(has_memory=self._placement.fits(decision))
+            if pause is None or trio.current_time() + pause > deadline:
+                return decision
             await trio.sleep(pause)
 
-    def _seconds_left(self, service: str) -> float | None:
+    def _seconds_until_available(self, service: str) -> float | None:
         now = trio.current_time()
         return self._state.placement.seconds_until_any_available(service, now)
 
@@ -111,45 +111,45 @@
             self._state,
             self._exchange,
             outcomes,
-            COME_BACK_SECONDS,
+            MIN_RETRY_AFTER_SECONDS,
             timed_out=timed_out,
         )
 
-    def _crowded(self, choice: PlacementDecision) -> RequestRefusedError:
+    def _overload_refusal(self, decision: PlacementDecision) -> RequestRefusedError:
         """Return the refusal when not even the best engine has enough memory.
 
         Jitter spreads the retries of callers that are refused together.
         """
         if any(not outcome.proves_not_run for outcome in self._outcomes):
             return self.refusal()
-        spread = self._state.random.uniform(*COME_BACK_SPREAD)
+        jitter = self._state.random.uniform(*RETRY_AFTER_JITTER)
         return RequestRefusedError(
             HTTPStatus.SERVICE_UNAVAILABLE,
             "engines_crowded",
             "no engine has memory for the request now",
-            spread * retry_after_seconds(choice.load),
+            jitter * retry_after_seconds(decision.load),
         )
 
-    def _check_may_go_on(self, service: str) -> None:
+    def _check_can_retry(self, service: str) -> None:
         outcome = self._outcomes[-1]
         is_last = len(self._outcomes) >= MAX_UNRUN_REFUSALS
-        may_go_on = may_retry(self._exchange.route.kind, outcome) and not is_last
-        if not may_go_on or not self._state.spend_retry(service):
+        can_retry = may_retry(self._exchange.route.kind, outcome) and not is_last
+        if not can_retry or not self._state.spend_retry(service):
             raise self.refusal()
         ingress_metrics.RETRIES.labels(outcome).inc()
 
     async def _attempt(
-        self, choice: PlacementDecision, number: int
+        self, decision: PlacementDecision, number: int
     ) -> EndpointAttempt | None:
-        endpoint = choice.endpoint
-        log_attempt(self._state, self._exchange, choice, number, self._memory.work)
+        endpoint = decision.endpoint
+        log_attempt(self._state, self._exchange, decision, number, self._placement.work)
         started = trio.current_time()
-        backup = self._memory.choose_backup(endpoint, started)
+        backup = self._placement.choose_backup(endpoint, started)
         attempt = EndpointAttempt(
             self._state, self._exchange, endpoint, MAX_IDLE_SECONDS
         )
-        self._memory.place(endpoint)
-        self._memory.place_backup(backup)
+        self._placement.place(endpoint)
+        self._placement.place_backup(backup)
         self._last_attempt = attempt
         is_open = False
         try:
@@ -167,11 +167,11 @@
             return None
         finally:
             if not is_open:
-                self._memory.release()
+                self._placement.release()
                 await attempt.close()
 
     async def _start(self, attempt: EndpointAttempt) -> None:
-        backup = self._memory.backup
+        backup = self._placement.backup
         answer = await attempt.start(
             self._exchange.forwarding_options(
                 priority=self._exchange.priority,
--- a/src/piershore/ingress/streams/stream_placement.py
+++ b/src/piershore/ingress/streams/stream_placement.py
@@ -66,24 +66,24 @@
         placement = self._state.placement
         if spec is None or spec.engine is None:
             return placement.for_call(service, now, excluded)
-        choice = placement.for_generation(
+        decision = placement.for_generation(
             service, self.work, spec.engine, now, excluded
         )
-        if choice is None or has_memory(choice.load, self.work, spec.engine):
-            return choice
+        if decision is None or has_memory(decision.load, self.work, spec.engine):
+            return decision
         # Don't refuse a request while an endpoint outside the subset has free memory.
         return placement.for_generation(
             service, self.work, spec.engine, now, excluded, anywhere=True
         )
 
-    def fits(self, choice: PlacementDecision) -> bool:
+    def fits(self, decision: PlacementDecision) -> bool:
         """Return whether the chosen endpoint has memory for the generation."""
         if not self._state.is_enabled(Mechanism.ADMISSION):
             return True
-        spec = self._exchange.configuration.services.get(choice.endpoint.service)
+        spec = self._exchange.configuration.services.get(decision.endpoint.service)
         if spec is None or spec.engine is None:
             return True
-        return has_memory(choice.load, self.work, spec.engine)
+        return has_memory(decision.load, self.work, spec.engine)
 
     def choose_backup(self, endpoint: Endpoint, now: float) -> Endpoint | None:
         """Return the endpoint for a backup, or None if there should be none.
@@ -95,12 +95,14 @@
         spec = self._exchange.configuration.services.get(endpoint.service)
         engine = spec.engine if spec else None
         load = self._state.fleet_load.at(endpoint.identity)
-        room = backup_memory_limit(load, self.work, engine) if engine else None
-        if room is None:
+        max_share = backup_memory_limit(load, self.work, engine) if engine else None
+        if max_share is None:
             return None
         # A rate-limited endpoint might reject the stream when it must continue there.
         excluded = [endpoint.identity, *self._state.limits.limited()]
-        choice = self.choose(endpoint.service, excluded, now)
-        if choice is None or not fits_backup(choice.load, self.work, engine, room):
+        decision = self.choose(endpoint.service, excluded, now)
+        if decision is None or not fits_backup(
+            decision.load, self.work, engine, max_share
+        ):
             return None
-        return choice.endpoint
+        return decision.endpoint
--- a/src/piershore/ingress/streams/stream_relay.py
+++ b/src/piershore/ingress/streams/stream_relay.py
@@ -13,7 +13,7 @@
 from piershore.ingress.gateway_state import GatewayState
 from piershore.ingress.live_stream import LiveStream
 
-TOKENS_AN_EVENT = 4
+TOKENS_PER_EVENT = 4
 """Tokens assumed per event, as endpoints don't report them; used for estimates only."""
 
 
@@ -27,11 +27,11 @@
     async def run(self, attempt: EndpointAttempt) -> str | None:
         """Relay all events; return None when complete, or why the stream broke."""
         splitter = EventSplitter()
-        parts = attempt.read_chunks()
+        chunks = attempt.read_chunks()
         stream = self._stream
         try:
-            while (part := await self._next_part(parts)) is not None:
-                await self._pass_on(attempt, splitter.feed(part))
+            while (chunk := await self._next_chunk(chunks)) is not None:
+                await self._relay(attempt, splitter.feed(chunk))
         except ExchangeBrokenError as error:
             return error.message
         except MissingEventError as error:
@@ -46,7 +46,7 @@
             return "the last event was truncated"
         return None
 
-    async def _next_part(self, parts: AsyncIterator[bytes]) -> bytes | None:
+    async def _next_chunk(self, chunks: AsyncIterator[bytes]) -> bytes | None:
         """Wait for the next chunk; None at the end or when the endpoint is given up.
 
         Only this wait may be cancelled to continue elsewhere: events that were received
@@ -58,32 +58,32 @@
         stream.waiting_since = trio.current_time()
         try:
             with trio.CancelScope() as stream.reading_scope:
-                return await anext(parts, None)
+                return await anext(chunks, None)
             return None
         finally:
             stream.waiting_since = None
 
-    async def _pass_on(
+    async def _relay(
         self, attempt: EndpointAttempt, events: Iterable[StreamEvent]
     ) -> None:
         """Send new events; then raise `MissingEventError` if one is missing."""
-        taken: list[bytes] = []
+        new_events: list[bytes] = []
         try:
             for event in self._stream.delivered.filter_new(events):
-                taken.append(event.data)
+                new_events.append(event.data)
         finally:
-            if taken:
-                self._note_events(attempt, len(taken))
-                await self._send(attempt, b"".join(taken))
+            if new_events:
+                self._record_events(attempt, len(new_events))
+                await self._send(attempt, b"".join(new_events))
 
-    def _note_events(self, attempt: EndpointAttempt, count: int) -> None:
+    def _record_events(self, attempt: EndpointAttempt, count: int) -> None:
         stream, now = self._stream, trio.current_time()
         is_first = stream.endpoint_first_event_at == float("inf")
         gap = None if is_first else now - stream.last_event_at
         self._state.paces.record_chunk(attempt.endpoint.identity, gap, now)
         if gap is not None:
             self._state.stalls.record_chunk(attempt.endpoint.data_hall, gap)
-        stream.record_events(count, now, TOKENS_AN_EVENT)
+        stream.record_events(count, now, TOKENS_PER_EVENT)
 
     async def _send(self, attempt: EndpointAttempt, data: bytes) -> None:
         connection = self._stream.exchange.connection
