--- a/src/piershore/ingress/followers/__init__.py
+++ b/src/piershore/ingress/followers/__init__.py
@@ -1,1 +1,1 @@
-"""What is followed in the platform's store."""
+"""Followers of the configuration, endpoints and drains in the platform's store."""
--- a/src/piershore/ingress/followers/drain_follower.py
+++ b/src/piershore/ingress/followers/drain_follower.py
@@ -68,7 +68,7 @@
             self._lost_until = {
                 data_hall: at for data_hall, at in self._lost_until.items() if at > now
             }
-            self._notify(before, "lost when the store was restored")
+            self._notify(before, "not written again")
 
     async def _read(self) -> StoreRevision:
         view = await self._feed.read()
--- a/src/piershore/ingress/followers/store_health.py
+++ b/src/piershore/ingress/followers/store_health.py
@@ -77,7 +77,7 @@
         )
 
     def is_fresh(self, max_age: float) -> bool:
-        """Return whether a call was answered within the last `longest` seconds."""
+        """Return whether a call was answered within the last `max_age` seconds."""
         return trio.current_time() - self._last_success < max_age
 
     async def back_off(self, reason: str) -> None:
--- a/src/piershore/ingress/peers/peer_link.py
+++ b/src/piershore/ingress/peers/peer_link.py
@@ -47,10 +47,10 @@
 DEPARTURE_REPORT_SECONDS = 2.0
 """How long reports name an endpoint as departed: some reports may be lost."""
 MEMBERS_REPORT_INTERVAL = 10
-"""Only each tenth report has the members and the output lengths: in a fleet of 30 they
-are three quarters of a report."""
+"""Only each tenth report contains the members and the output lengths: in a fleet of 30
+they are three quarters of a report."""
 MEMBERS_AFTER_CHANGE_SECONDS = 3.0
-"""How long each report has the members after the set of live peers has changed."""
+"""How long each report contains the members after the set of live peers has changed."""
 MAX_DATAGRAM_BYTES = 60_000
 PEER_LOAD_EXPIRY_SECONDS = 1.0
 """How long a peer's work still counts after the peer has fallen silent."""
