--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -259,14 +259,14 @@
         "ingress_streams",
     ),
     Mutant(
-        "own standstill taken for an endpoint's silence",
+        "a pause of the process counts as an endpoint's silence",
         "ingress/streams/silence_watch.py",
         "if was_paused(due, now):",
         "if False:",
         "ingress_streams",
     ),
     Mutant(
-        "a stop for a move isn't told from the end",
+        "a stop for a move counts as the end of the stream",
         "ingress/streams/stream_relay.py",
         "        if stream.is_given_up:\n            return",
         "        if False:\n            return",
@@ -314,7 +314,7 @@
         "ingress_documents",
     ),
     Mutant(
-        "a read from a peer has a limit for the whole",
+        "a read from a peer has a timeout for the whole read",
         "ingress/peers/document_reader.py",
         "            document = await self._read(host, own)\n",
         "            with trio.move_on_after(0.05):\n"
@@ -327,7 +327,7 @@
         ),
     ),
     Mutant(
-        "a report that is too large is sent as it is",
+        "a report that is too large is sent unshortened",
         "ingress/peers/peer_link.py",
         "data if is_complete else report.encode_within(MAX_DATAGRAM_BYTES)",
         "data",
@@ -397,7 +397,7 @@
         "crashing_requests",
     ),
     Mutant(
-        "peers aren't told of crashes",
+        "crashes aren't reported to peers",
         "ingress/peers/crash_reporter.py",
         "self._nursery.start_soon(self._send_to_all, content)",
         "pass",
--- a/features/steps/ingress_stream_steps.py
+++ b/features/steps/ingress_stream_steps.py
@@ -32,7 +32,7 @@
 
 
 NO_MEMORY_SECONDS = 0.4
-"""Longer than three refusals take, shorter than a notice."""
+"""Longer than three refusals take, shorter than the time from a notice to the end."""
 
 
 SLOW_LINK_MBPS = 20_000.0
--- a/src/piershore/ingress/moves/move_coordinator.py
+++ b/src/piershore/ingress/moves/move_coordinator.py
@@ -149,9 +149,9 @@
 
     def _plan(self, evacuation: Evacuation) -> tuple[PlannedMove, ...]:
         source = evacuation.source
-        reports = {note.request: note for note in self._live.reports(source.identity)}
+        reports = {r.request: r for r in self._live.reports(source.identity)}
         reports.update(
-            (n.request, n) for n in self._peers.reported_streams_at(source.identity)
+            (r.request, r) for r in self._peers.reported_streams_at(source.identity)
         )
         # A crashed endpoint stays listed for seconds, but is ejected sooner.
         now = trio.current_time()
