--- a/src/piershore/checkpoints.py
+++ b/src/piershore/checkpoints.py
@@ -16,9 +16,9 @@
 
 async def with_checkpoints(items: Iterable[Item]) -> AsyncIterator[Item]:
     """Yield items that take time to create or use; run other tasks in between."""
-    turn_ends = trio.current_time() + CHECKPOINT_INTERVAL_SECONDS
+    next_checkpoint = trio.current_time() + CHECKPOINT_INTERVAL_SECONDS
     for item in items:
         yield item
-        if trio.current_time() >= turn_ends:
+        if trio.current_time() >= next_checkpoint:
             await trio.lowlevel.checkpoint()
-            turn_ends = trio.current_time() + CHECKPOINT_INTERVAL_SECONDS
+            next_checkpoint = trio.current_time() + CHECKPOINT_INTERVAL_SECONDS
--- a/src/piershore/core/bounded_mapping.py
+++ b/src/piershore/core/bounded_mapping.py
@@ -7,9 +7,11 @@
 Kept = TypeVar("Kept")
 
 
-def put_newest(kept: dict[str, Kept], key: str, value: Kept, max_entries: int) -> None:
+def put_newest(
+    entries: dict[str, Kept], key: str, value: Kept, max_entries: int
+) -> None:
     """Store an entry as the newest and evict the oldest beyond the upper bound."""
-    kept.pop(key, None)
-    kept[key] = value
-    while len(kept) > max_entries:
-        del kept[next(iter(kept))]
+    entries.pop(key, None)
+    entries[key] = value
+    while len(entries) > max_entries:
+        del entries[next(iter(entries))]
--- a/src/piershore/core/configuration/checked.py
+++ b/src/piershore/core/configuration/checked.py
@@ -26,9 +26,9 @@
 
 def check_fields(instance: object) -> None:
     """Raise the first fault of a data class instance; for use in `__post_init__`."""
-    for each in fields(instance):
-        check = each.metadata.get(CHECK)
-        value = getattr(instance, each.name)
+    for data_field in fields(instance):
+        check = data_field.metadata.get(CHECK)
+        value = getattr(instance, data_field.name)
         if check is not None and value is not None:
             check(value)
 
@@ -40,24 +40,26 @@
     if not isinstance(data, dict):
         return
     hints = get_type_hints(target)
-    for each in fields(target):
-        value = data.get(each.name)
+    for data_field in fields(target):
+        value = data.get(data_field.name)
         if value is None:
             continue
-        place = (*path, each.name)
-        check = each.metadata.get(CHECK)
+        field_path = (*path, data_field.name)
+        check = data_field.metadata.get(CHECK)
         if check is not None:
-            yield from _run(check, value, place)
-        for inner in (hints[each.name], *get_args(hints[each.name])):
+            yield from _run_check(check, value, field_path)
+        for inner in (hints[data_field.name], *get_args(hints[data_field.name])):
             if is_dataclass(inner):
-                yield from field_faults(inner, value, place)
+                yield from field_faults(inner, value, field_path)
 
 
-def _run(check: Check, value: object, place: tuple[str, ...]) -> Iterator[FieldFault]:
+def _run_check(
+    check: Check, value: object, field_path: tuple[str, ...]
+) -> Iterator[FieldFault]:
     try:
         check(value)
     except ValueError as error:
-        yield FieldFault(place, str(error))
+        yield FieldFault(field_path, str(error))
     except (TypeError, AttributeError):
         # A wrong type is reported as a finding of its own.
         return
--- a/src/piershore/core/configuration/config_view.py
+++ b/src/piershore/core/configuration/config_view.py
@@ -97,7 +97,7 @@
         self._objects[change.name] = change
         if era_of(change.version) >= era_of(self._complete_to):
             self._unconfirmed.discard(change.name)
-        self._keep(change)
+        self._record_change(change)
         self._decode(change)
         for listener in self._listeners:
             listener(change)
@@ -114,7 +114,7 @@
             for name in self._recent.names:
                 if self._objects[name].version <= self._complete_to:
                     self._recent.mark_confirmed(name, era)
-        self._complete_up_to(revision)
+        self._advance_complete_to(revision)
 
     def apply_snapshot(self, snapshot: Snapshot) -> bool:
         """Apply a snapshot unless it is older than this view; return whether it was."""
@@ -126,11 +126,11 @@
                 self._recent.mark_confirmed(stored.name, era_of(snapshot.revision))
         for name in list(self._deleted(snapshot)):
             self.apply(StoredObject(name, snapshot.revision, None))
-        self._unconfirmed.update(self._shown_otherwise(snapshot))
+        self._unconfirmed.update(self._differing(snapshot))
         if self._complete_to == 0:
             # Deletions before the first snapshot are unknown to this view.
             self._changes_from = snapshot.revision
-        self._complete_up_to(snapshot.revision)
+        self._advance_complete_to(snapshot.revision)
         return True
 
     def snapshot(self) -> Snapshot:
@@ -151,7 +151,7 @@
             return None
         return tuple(islice(self._changes, len(self._changes) - missing, None))
 
-    def _complete_up_to(self, revision: int) -> None:
+    def _advance_complete_to(self, revision: int) -> None:
         self._complete_to = max(self._complete_to, revision)
         if self._applied_beyond:
             self._applied_beyond = {
@@ -160,26 +160,26 @@
 
     def _deleted(self, snapshot: Snapshot) -> Iterator[ObjectName]:
         """Yield the objects in force here that were deleted in the store."""
-        shown = {stored.name for stored in snapshot.objects}
+        stored_names = {stored.name for stored in snapshot.objects}
         era = era_of(snapshot.revision)
-        for name, held in self._objects.items():
-            is_missing = held.value is not None and name not in shown
-            is_older = held.version <= snapshot.revision
+        for name, current in self._objects.items():
+            is_missing = current.value is not None and name not in stored_names
+            is_older = current.version <= snapshot.revision
             if is_missing and is_older and not self._recent.may_be_lost(name, era):
                 yield name
 
-    def _shown_otherwise(self, snapshot: Snapshot) -> Iterator[ObjectName]:
+    def _differing(self, snapshot: Snapshot) -> Iterator[ObjectName]:
         """Yield the objects whose version in force here a restored store lacks."""
-        shown = {stored.name: stored for stored in snapshot.objects}
+        stored_by_name = {stored.name: stored for stored in snapshot.objects}
         era = era_of(snapshot.revision)
-        for name, held in self._objects.items():
-            stored = shown.get(name)
-            is_there = stored is not None and _is_same(stored, held)
-            is_gone = stored is None and held.value is None
-            if era_of(held.version) < era and not (is_there or is_gone):
+        for name, current in self._objects.items():
+            stored = stored_by_name.get(name)
+            is_stored = stored is not None and _is_same(stored, current)
+            is_removed = stored is None and current.value is None
+            if era_of(current.version) < era and not (is_stored or is_removed):
                 yield name
 
-    def _keep(self, change: StoredObject) -> None:
+    def _record_change(self, change: StoredObject) -> None:
         self._applied_count += 1
         if change.version > self._complete_to:
             self._applied_beyond.add(change.version)
--- a/src/piershore/core/configuration/effective_account.py
+++ b/src/piershore/core/configuration/effective_account.py
@@ -43,7 +43,7 @@
             services=account.services,
             working_hours=pick("working_hours"),
             priorities={**(base.priorities or {}), **(over.priorities or {})},
-            non_repeatable_kinds=_stricter_kinds(base, over),
+            non_repeatable_kinds=_merge_non_repeatable_kinds(base, over),
             requests_per_second=pick("requests_per_second"),
             concurrent_requests=pick("concurrent_requests"),
         )
@@ -56,7 +56,7 @@
         return priority
 
 
-def _stricter_kinds(
+def _merge_non_repeatable_kinds(
     base: AccountParameters, over: AccountParameters
 ) -> tuple[str, ...]:
     # An override can add non-repeatable kinds, but not remove any.
--- a/src/piershore/core/documents/chunks_reply.py
+++ b/src/piershore/core/documents/chunks_reply.py
@@ -32,13 +32,13 @@
     @classmethod
     def of(cls, document: Document, request: ChunksRequest) -> ChunksReply:
         """Return the reply to a request, one message of bounded size."""
-        parts = tuple(_first_missing(document, request))
-        return cls(document.revision, document.digests, parts)
+        chunks = tuple(_first_missing(document, request))
+        return cls(document.revision, document.digests, chunks)
 
     def encode(self) -> bytes:
         """Return the encoded message."""
         head = orjson.dumps([self.revision, self.digests])
-        return compress(LINE_END.join([head, *(part.data for part in self.chunks)]))
+        return compress(LINE_END.join([head, *(chunk.data for chunk in self.chunks)]))
 
     @classmethod
     def decode(cls, data: bytes) -> ChunksReply:
@@ -59,10 +59,10 @@
     document: Document, request: ChunksRequest
 ) -> Iterator[DocumentChunk]:
     size = 0
-    for part in document.chunks:
-        if part.digest in request.known:
+    for chunk in document.chunks:
+        if chunk.digest in request.known:
             continue
-        size += len(part.data)
-        yield part
+        size += len(chunk.data)
+        yield chunk
         if size >= TARGET_REPLY_BYTES:
             return
--- a/src/piershore/core/documents/compression.py
+++ b/src/piershore/core/documents/compression.py
@@ -18,8 +18,8 @@
 
 def decompress(data: bytes) -> bytes:
     """Return the decompressed data; raise `zlib.error` or ValueError if invalid."""
-    unpacker = zlib.decompressobj()
-    unpacked = unpacker.decompress(data, MAX_DECOMPRESSED_BYTES)
-    if not unpacker.eof:
+    decompressor = zlib.decompressobj()
+    decompressed = decompressor.decompress(data, MAX_DECOMPRESSED_BYTES)
+    if not decompressor.eof:
         raise ValueError("the message is truncated or too large")
-    return unpacked
+    return decompressed
--- a/src/piershore/core/documents/document.py
+++ b/src/piershore/core/documents/document.py
@@ -33,9 +33,9 @@
     @cached_property
     def by_digest(self) -> dict[str, DocumentChunk]:
         """The chunks by their digest."""
-        return {part.digest: part for part in self.chunks}
+        return {chunk.digest: chunk for chunk in self.chunks}
 
     @property
     def digests(self) -> tuple[str, ...]:
         """The digests of all chunks, in order."""
-        return tuple(part.digest for part in self.chunks)
+        return tuple(chunk.digest for chunk in self.chunks)
--- a/src/piershore/core/documents/document_assembler.py
+++ b/src/piershore/core/documents/document_assembler.py
@@ -28,13 +28,19 @@
     ) -> Document | None:
         """Add the chunks of a peer's reply; return the document once it is complete."""
         known = {**(own.by_digest if own is not None else {}), **self._received}
-        known.update((part.digest, part) for part in reply.chunks)
+        known.update((chunk.digest, chunk) for chunk in reply.chunks)
         if all(digest in known for digest in reply.digests):
             self._received = {}
-            parts = tuple(known[digest] for digest in reply.digests)
-            return Document(reply.revision, parts)
-        wanted = {digest: known[digest] for digest in reply.digests if digest in known}
+            ordered = tuple(known[digest] for digest in reply.digests)
+            return Document(reply.revision, ordered)
+        received = {
+            digest: known[digest] for digest in reply.digests if digest in known
+        }
         if own is not None:
-            wanted = {d: p for d, p in wanted.items() if d not in own.by_digest}
-        self._received = wanted
+            received = {
+                digest: chunk
+                for digest, chunk in received.items()
+                if digest not in own.by_digest
+            }
+        self._received = received
         return None
--- a/src/piershore/core/documents/splitting.py
+++ b/src/piershore/core/documents/splitting.py
@@ -25,16 +25,16 @@
         if not isinstance(value, list):
             yield DocumentChunk.of(orjson.dumps({name: value}))
             continue
-        start = b"{%b:[" % orjson.dumps(name)
+        prefix = b"{%b:[" % orjson.dumps(name)
         for group in _groups(value):
-            yield DocumentChunk.of(start + b",".join(group) + b"]}")
+            yield DocumentChunk.of(prefix + b",".join(group) + b"]}")
 
 
-def join(parts: Iterable[DocumentChunk]) -> dict[str, object]:
+def join(chunks: Iterable[DocumentChunk]) -> dict[str, object]:
     """Return the fields of a document; raise ValueError if a chunk is not JSON."""
     fields: dict[str, object] = {}
-    for part in parts:
-        for name, value in orjson.loads(part.data).items():
+    for chunk in chunks:
+        for name, value in orjson.loads(chunk.data).items():
             if isinstance(value, list):
                 fields.setdefault(name, []).extend(value)
             else:
--- a/src/piershore/core/ownership/key_minter.py
+++ b/src/piershore/core/ownership/key_minter.py
@@ -20,14 +20,20 @@
     run even if this clock is wrong, or if the platform is down and leases aren't
     extended.
     """
-    usable = [held for held in reachable if _is_usable(held.interval)]
+    usable = [
+        slot_interval
+        for slot_interval in reachable
+        if _is_usable(slot_interval.interval)
+    ]
     if not usable:
         return None
-    held = random.choice(usable)
-    mint_time = min(max(now, held.interval.start + 1), held.interval.end)
-    for _ in range(ATTEMPTS_PER_SLOT * held.slot_count):
+    slot_interval = random.choice(usable)
+    mint_time = min(
+        max(now, slot_interval.interval.start + 1), slot_interval.interval.end
+    )
+    for _ in range(ATTEMPTS_PER_SLOT * slot_interval.slot_count):
         key = MintedKey.mint(mint_time, random)
-        if key.slot(held.slot_count) == held.slot:
+        if key.slot(slot_interval.slot_count) == slot_interval.slot:
             return key
     return None
 
@@ -36,9 +42,9 @@
     key: MintedKey, known: Iterable[SlotInterval]
 ) -> Iterator[SlotInterval]:
     """Yield the known interval whose owner may run `key`, if there is one."""
-    for held in known:
-        if held.contains(key.mint_time, key.slot(held.slot_count)):
-            yield held
+    for slot_interval in known:
+        if slot_interval.contains(key.mint_time, key.slot(slot_interval.slot_count)):
+            yield slot_interval
 
 
 def _is_usable(interval: Interval) -> bool:
--- a/src/piershore/core/ownership/slot_owner.py
+++ b/src/piershore/core/ownership/slot_owner.py
@@ -60,13 +60,13 @@
         self._settings = settings
         self._version = 0
         self._table: SlotTable | None = None
-        self._earlier: tuple[SlotInterval, ...] = ()
+        self._earlier_intervals: tuple[SlotInterval, ...] = ()
         self._claims: OrderedDict[str, Claim] = OrderedDict()
         self._mint_times: dict[str, int] = {}
         self._answers: OrderedDict[str, None] = OrderedDict()
-        self._admitted: dict[tuple[int, int], int] = {}
-        self._release_marks: dict[tuple[int, int], int] = {}
-        self._forgotten_up_to = 0
+        self._highest_claimed: dict[tuple[int, int], int] = {}
+        self._released_ends: dict[tuple[int, int], int] = {}
+        self._expired_up_to = 0
         self._leaving = False
 
     @property
@@ -89,7 +89,7 @@
         if version <= self._version:
             return
         if era_of(version) > self.era:
-            self._earlier = tuple(self._intervals_up_to(table.current.start))
+            self._earlier_intervals = tuple(self._intervals_up_to(table.current.start))
         self._version = version
         self._table = table
 
@@ -112,7 +112,7 @@
         claim = self._claims.get(key.text)
         if claim is not None:
             return self._decide_repeat(claim)
-        if key.mint_time <= self._forgotten_up_to:
+        if key.mint_time <= self._expired_up_to:
             return RefuseKey(RefusalReason.MINT_TIME_TOO_OLD, Outcome.UNKNOWN)
         if not self._owns(key):
             return RefuseKey(RefusalReason.NO_OWNER, Outcome.UNKNOWN)
@@ -145,27 +145,31 @@
         keys at the end of an interval. The age of claims is therefore counted from the
         highest end of an interval if that is before `now`.
         """
-        mark = min(now, self._highest_end()) - self._settings.retention
-        if mark <= self._forgotten_up_to:
+        expired_up_to = min(now, self._highest_end()) - self._settings.retention
+        if expired_up_to <= self._expired_up_to:
             return
-        self._forgotten_up_to = mark
-        old = [text for text, mint in self._mint_times.items() if mint <= mark]
-        for text in old:
+        self._expired_up_to = expired_up_to
+        expired = [
+            text for text, mint in self._mint_times.items() if mint <= expired_up_to
+        ]
+        for text in expired:
             if self._claims[text].state is ClaimState.RUNNING:
                 continue
             del self._claims[text]
             del self._mint_times[text]
             self._answers.pop(text, None)
-        self._earlier = tuple(h for h in self._earlier if h.interval.end > mark)
+        self._earlier_intervals = tuple(
+            h for h in self._earlier_intervals if h.interval.end > expired_up_to
+        )
 
     def leave(self) -> None:
         """Stop claiming keys and fix the final ends of this agent's intervals."""
         self._leaving = True
-        for held in self._own_intervals():
-            place = (held.layout_start, held.slot)
-            start = held.interval.start
-            mark = max(start, self._admitted.get(place, start))
-            self._release_marks[place] = mark
+        for slot_interval in self._own_intervals():
+            position = (slot_interval.layout_start, slot_interval.slot)
+            start = slot_interval.interval.start
+            end = max(start, self._highest_claimed.get(position, start))
+            self._released_ends[position] = end
 
     def update_leases(
         self, table: SlotTable, now: int, members: Collection[str]
@@ -200,26 +204,35 @@
 
     def intervals(self) -> Iterator[SlotInterval]:
         """Yield this agent's own intervals, truncated where it has released them."""
-        for held in self._own_intervals():
-            mark = self._release_marks.get((held.layout_start, held.slot))
-            if mark is not None:
-                held = replace(held, interval=held.interval.released_at(mark))
-            yield held
+        for slot_interval in self._own_intervals():
+            end = self._released_ends.get(
+                (slot_interval.layout_start, slot_interval.slot)
+            )
+            if end is not None:
+                slot_interval = replace(
+                    slot_interval, interval=slot_interval.interval.released_at(end)
+                )
+            yield slot_interval
 
     def _own_intervals(self) -> Iterator[SlotInterval]:
-        yield from self._earlier
+        yield from self._earlier_intervals
         if self._table is not None:
             yield from self._table.intervals_of(self._owner)
 
     def _intervals_up_to(self, end: int) -> Iterator[SlotInterval]:
         """Yield this agent's own intervals, truncated to the mint times up to `end`."""
-        for held in self._own_intervals():
-            if held.interval.start < end:
-                cut = held.interval.extended(min(held.interval.end, end))
-                yield replace(held, interval=cut)
+        for slot_interval in self._own_intervals():
+            if slot_interval.interval.start < end:
+                truncated = slot_interval.interval.extended(
+                    min(slot_interval.interval.end, end)
+                )
+                yield replace(slot_interval, interval=truncated)
 
     def _highest_end(self) -> int:
-        return max((held.interval.end for held in self.intervals()), default=0)
+        return max(
+            (slot_interval.interval.end for slot_interval in self.intervals()),
+            default=0,
+        )
 
     def _decide_repeat(self, claim: Claim) -> KeyDecision:
         if claim.state is ClaimState.RUNNING:
@@ -231,15 +244,15 @@
         return ReplayAnswer(claim.answer)
 
     def _refuse_while_leaving(self, key: MintedKey) -> KeyDecision:
-        mark = self._release_marks.get(self._place(key), 0)
-        if key.mint_time <= mark:
+        end = self._released_ends.get(self._position(key), 0)
+        if key.mint_time <= end:
             # The key stays this agent's own after the release and is never claimed.
             return RefuseKey(RefusalReason.LEAVING, Outcome.NOT_RUN)
         # The successor owns the key from now on and may have run it.
         return RefuseKey(RefusalReason.LEAVING, Outcome.UNKNOWN)
 
     def _owns(self, key: MintedKey) -> bool:
-        if self._earlier_interval(key) is not None:
+        if self._find_earlier_interval(key) is not None:
             return True
         if self._table is None:
             return False
@@ -249,14 +262,16 @@
     def _claim(self, key: MintedKey) -> None:
         self._claims[key.text] = Claim(ClaimState.RUNNING)
         self._mint_times[key.text] = key.mint_time
-        place = self._place(key)
-        self._admitted[place] = max(self._admitted.get(place, 0), key.mint_time)
+        position = self._position(key)
+        self._highest_claimed[position] = max(
+            self._highest_claimed.get(position, 0), key.mint_time
+        )
 
-    def _earlier_interval(self, key: MintedKey) -> SlotInterval | None:
-        return next(intervals_for(key, self._earlier), None)
+    def _find_earlier_interval(self, key: MintedKey) -> SlotInterval | None:
+        return next(intervals_for(key, self._earlier_intervals), None)
 
-    def _place(self, key: MintedKey) -> tuple[int, int]:
-        earlier = self._earlier_interval(key)
+    def _position(self, key: MintedKey) -> tuple[int, int]:
+        earlier = self._find_earlier_interval(key)
         if earlier is not None:
             return earlier.layout_start, earlier.slot
         layout = next(
@@ -265,17 +280,17 @@
         return layout.start, key.slot(len(layout.slots))
 
     def _release_all(self, table: SlotTable) -> SlotTable:
-        for index in self._held(table):
-            place = (table.current.start, index)
-            mark = self._release_marks.get(place)
-            if mark is None:
+        for index in self._owned_slots(table):
+            position = (table.current.start, index)
+            end = self._released_ends.get(position)
+            if end is None:
                 # Taken by a write whose answer arrived after `leave`: no key of the
                 # interval was ever claimed here.
-                mark = table.current.slots[index].last.start
-            table = table.release(index, self._owner, mark)
+                end = table.current.slots[index].last.start
+            table = table.release(index, self._owner, end)
         return table
 
-    def _held(self, table: SlotTable) -> Iterator[int]:
+    def _owned_slots(self, table: SlotTable) -> Iterator[int]:
         for index, slot in enumerate(table.current.slots):
             last = slot.last
             if last is not None and last.owner == self._owner and not last.released:
@@ -284,8 +299,8 @@
     def _lease_end(self, table: SlotTable, last: Interval | None, now: int) -> int:
         # The first interval of a layout may start later than a lease's length from now.
         # Gateways mint keys for it immediately.
-        begin = now if last is not None else max(now, table.current.start)
-        return begin + self._settings.lease_length
+        start = now if last is not None else max(now, table.current.start)
+        return start + self._settings.lease_length
 
     def _may_take(
         self, table: SlotTable, index: int, now: int, members: Collection[str]
@@ -302,8 +317,8 @@
         if slot.wanted_by == self._owner:
             return last.end < now
         is_silent = last.end + self._settings.takeover_grace < now
-        is_next = self._is_preferred(index, members) or self._has_waited(last, now)
-        return is_silent and is_next
+        is_candidate = self._is_preferred(index, members) or self._has_waited(last, now)
+        return is_silent and is_candidate
 
     def _is_own_predecessor(self, owner: Owner) -> bool:
         is_same = owner.endpoint == self._owner.endpoint
--- a/src/piershore/core/routes/partial_configuration.py
+++ b/src/piershore/core/routes/partial_configuration.py
@@ -33,30 +33,30 @@
 
 
 def merge_partial_configurations(
-    pieces: Iterable[PartialConfiguration],
+    partials: Iterable[PartialConfiguration],
 ) -> ServingConfiguration:
     """Return the configuration; raise ValueError if a required field is missing."""
-    pieces = tuple(pieces)
-    routes = chain.from_iterable(_told(pieces, "routes"))
-    services = chain.from_iterable(_told(pieces, "services"))
+    partials = tuple(partials)
+    routes = chain.from_iterable(_values_of(partials, "routes"))
+    services = chain.from_iterable(_values_of(partials, "services"))
     accounts: dict[str, AccountRef] = {}
-    for piece in pieces:
-        accounts.update(piece.accounts_by_key)
-    limits = [piece.limits for piece in pieces if piece.limits is not None]
+    for partial in partials:
+        accounts.update(partial.accounts_by_key)
+    limits = [partial.limits for partial in partials if partial.limits is not None]
     return ServingConfiguration(
-        version=_told(pieces, "version")[-1],
+        version=_values_of(partials, "version")[-1],
         routes_by_host=group_routes(routes),
         services={service.name: service for service in services},
         accounts_by_key=accounts,
         limits=limits[-1] if limits else ClientLimits(),
-        requires_keys=any(piece.requires_keys for piece in pieces),
+        requires_keys=any(partial.requires_keys for partial in partials),
     )
 
 
-def _told(pieces: tuple[PartialConfiguration, ...], name: str) -> list:
+def _values_of(partials: tuple[PartialConfiguration, ...], name: str) -> list:
     """Return the values of a field; raise ValueError if there is none."""
-    values = [getattr(piece, name) for piece in pieces]
-    told = [value for value in values if value is not None]
-    if not told:
+    all_values = [getattr(partial, name) for partial in partials]
+    values = [value for value in all_values if value is not None]
+    if not values:
         raise ValueError(f"the configuration has no field {name!r}")
-    return told
+    return values
--- a/src/piershore/core/streams/event_id.py
+++ b/src/piershore/core/streams/event_id.py
@@ -8,7 +8,7 @@
 from piershore.core.streams.exceptions import InvalidEventIdError
 
 SEPARATOR = "/"
-PARTS = 4
+PART_COUNT = 4
 
 
 @dataclass(frozen=True)
@@ -31,7 +31,7 @@
     def decode(cls, text: str) -> EventId:
         """Parse a `Last-Event-ID`; raise `InvalidEventIdError` if it is malformed."""
         parts = text.split(SEPARATOR)
-        if len(parts) != PARTS or not all(parts):
+        if len(parts) != PART_COUNT or not all(parts):
             raise InvalidEventIdError("the event id doesn't have four parts")
         index = parts[-1]
         if not (index.isascii() and index.isdigit()) or len(index) > 12:
--- a/src/piershore/core/streams/event_splitter.py
+++ b/src/piershore/core/streams/event_splitter.py
@@ -22,20 +22,20 @@
     """Splits the chunks of a stream into complete events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
     def remainder(self) -> bytes:
         """The bytes after the last complete event."""
-        return self._rest
+        return self._remainder
 
-    def feed(self, part: bytes) -> Iterator[StreamEvent]:
+    def feed(self, chunk: bytes) -> Iterator[StreamEvent]:
         """Add received bytes and yield the events that are complete now."""
-        data = self._rest + part
+        data = self._remainder + chunk
         start = 0
         for end in EVENT_END.finditer(data):
             event = data[start : end.end()]
             start = end.end()
             found = EVENT_ID.search(event)
             yield StreamEvent(event, int(found[1]) if found else None)
-        self._rest = data[start:]
+        self._remainder = data[start:]
--- a/src/piershore/core/streams/generation.py
+++ b/src/piershore/core/streams/generation.py
@@ -122,8 +122,8 @@
         """Return the tokens that the window allows to send now, if any."""
         if self._reader is None:
             return None
-        room = self._acknowledged + WINDOW_TOKENS - self._sent
-        tokens = self._buffer.read(self._sent, room) if room > 0 else ()
+        capacity = self._acknowledged + WINDOW_TOKENS - self._sent
+        tokens = self._buffer.read(self._sent, capacity) if capacity > 0 else ()
         if not tokens:
             return None
         segment = Segment(self._reader, self._sent, tokens)
--- a/src/piershore/core/streams/silence.py
+++ b/src/piershore/core/streams/silence.py
@@ -80,7 +80,7 @@
         return SilenceDecision.GIVE_UP
     if report.is_from_earlier_incarnation(stream.born):
         return SilenceDecision.WAIT
-    made = report.generated_events.get(stream.request, 0)
-    if made > stream.last_event + MAX_EVENTS_IN_TRANSIT:
+    generated = report.generated_events.get(stream.request, 0)
+    if generated > stream.last_event + MAX_EVENTS_IN_TRANSIT:
         return SilenceDecision.MOVE
     return SilenceDecision.WAIT
