--- a/src/piershore/core/ownership/claim.py
+++ b/src/piershore/core/ownership/claim.py
@@ -21,7 +21,7 @@
 class Answer:
     """The stored answer of a plain call: HTTP status and body.
 
-    `backoff_seconds` is the backoff that the service requested with its answer, and
+    `rest_seconds` is the backoff that the service requested with its answer, and
     `rate_limit` the calls a second that it advertised; None if it didn't.
     """
 
--- a/src/piershore/core/streams/delivered_events.py
+++ b/src/piershore/core/streams/delivered_events.py
@@ -41,6 +41,6 @@
             if number <= self._last:
                 return False
             if number != self._last + 1:
-                raise MissingEventError(f"event {number} follows event {self._last}")
+                raise MissingEventError(f"{number} follows {self._last}")
         self._last = number
         return True
--- a/src/piershore/core/streams/event_id.py
+++ b/src/piershore/core/streams/event_id.py
@@ -32,7 +32,7 @@
         """Parse a `Last-Event-ID`; raise `InvalidEventIdError` if it is malformed."""
         parts = text.split(SEPARATOR)
         if len(parts) != PART_COUNT or not all(parts):
-            raise InvalidEventIdError("the event id doesn't have four parts")
+            raise InvalidEventIdError("the event id has not four parts")
         index = parts[-1]
         if not (index.isascii() and index.isdigit()) or len(index) > 12:
             raise InvalidEventIdError("the event id has no token index")
--- a/src/piershore/core/streams/silence.py
+++ b/src/piershore/core/streams/silence.py
@@ -23,8 +23,8 @@
 class EndpointReport:
     """An endpoint's report on itself, with the number of generated events by request.
 
-    `incarnation_started_ms` is the start of the incarnation that reports, in Unix
-    milliseconds; 0 if unknown.
+    `born` is the start of the incarnation that reports, in Unix milliseconds; 0 if
+    unknown.
     """
 
     is_leaving: bool
@@ -32,11 +32,11 @@
     born: int = 0
 
     def is_from_earlier_incarnation(self, born: int) -> bool:
-        """Return whether an incarnation before the given one made the report."""
+        """Return whether it is from before the incarnation that started at `born`."""
         return 0 < self.born < born
 
     def is_from_later_incarnation(self, born: int) -> bool:
-        """Return whether an incarnation after the given one made the report."""
+        """Return whether it is from after the incarnation that started at `born`."""
         return 0 < born < self.born
 
 
@@ -57,8 +57,8 @@
 class SilentStream:
     """A stream that waits for events; `last_event` is the last number received.
 
-    `incarnation_started_ms` is the start of its endpoint's incarnation, in Unix
-    milliseconds; 0 if unknown.
+    `born` is the start of its endpoint's incarnation, in Unix milliseconds; 0 if
+    unknown.
     """
 
     request: str
