--- a/features/steps/core_generation_steps.py
+++ b/features/steps/core_generation_steps.py
@@ -20,36 +20,36 @@
     for seed in range(count):
         random = Random(seed)
         generation = Generation("g", "a", 1_000, 0.0)
-        seen = {}
-        made = 0
+        received = {}
+        generated = 0
         for _ in range(200):
             action = random.choice(
                 ["make", "again", "send", "send", "attach", "detach"]
             )
-            if action == "make" and made < 100:
+            if action == "make" and generated < 100:
                 new = random.randrange(1, 6)
-                tokens = tuple(str(i) for i in range(made, made + new))
-                generation.append(made, tokens, 0.0)
-                made += new
-            elif action == "again" and made:
-                first = random.randrange(made)
-                tokens = tuple(str(i) for i in range(first, made))
+                tokens = tuple(str(i) for i in range(generated, generated + new))
+                generation.append(generated, tokens, 0.0)
+                generated += new
+            elif action == "again" and generated:
+                first = random.randrange(generated)
+                tokens = tuple(str(i) for i in range(first, generated))
                 generation.append(first, tokens, 0.0)
             elif action == "attach":
-                request = len(seen)
-                start = random.randrange(made + 1)
+                request = len(received)
+                start = random.randrange(generated + 1)
                 generation.attach(1, request, start)
-                seen[request] = [start]
-            elif action == "detach" and seen:
-                generation.detach(1, random.choice(list(seen)), 0.0)
+                received[request] = [start]
+            elif action == "detach" and received:
+                generation.detach(1, random.choice(list(received)), 0.0)
             elif (segment := generation.send()) is not None:
                 reader = segment.reader
-                assert reader.request == max(seen), "a superseded reader got tokens"
-                expected = seen[reader.request][-1]
+                assert reader.request == max(received), "a superseded reader got tokens"
+                expected = received[reader.request][-1]
                 assert segment.first_index == expected
                 end = expected + len(segment.tokens)
                 assert segment.tokens == tuple(str(i) for i in range(expected, end))
-                seen[reader.request].append(end)
+                received[reader.request].append(end)
                 generation.acknowledge(1, reader.request, end)
         generation.end(Ending())
 
--- a/features/steps/core_ownership_steps.py
+++ b/features/steps/core_ownership_steps.py
@@ -91,7 +91,7 @@
             self.versions.append((version + 1, resized))
 
 
-class ReturningHistory(OwnershipHistory):
+class RestoredHistory(OwnershipHistory):
     """The same with a store that is restored from older copies of itself.
 
     Each era has a record of its own. An agent uses the era of the store's last answer;
@@ -101,20 +101,20 @@
     def __init__(self, seed, slots):
         self.slots = slots
         self.era = 0
-        self.told = {}
+        self.known_eras = {}
         super().__init__(seed, slots)
         self.records = {0: self.versions}
         self.keys = []
 
     def agent(self, number):
-        self.told[number] = 0
+        self.known_eras[number] = 0
         owner = Owner(f"a{number}", str(self.random.random()))
         settings_ = OwnershipSettings(60, 5, 150, 5, clock_allowance=100)
         return SlotOwner("s", owner, settings_)
 
     def step(self):
         if self.random.random() < 0.02:
-            self.come_back()
+            self.restore_older_copy()
         super().step()
 
     def run(self, agent, number):
@@ -124,7 +124,7 @@
             self.keys = [*self.keys[-15:], MintedKey.mint(mint_time, self.random)]
         super().run(agent, number)
 
-    def come_back(self):
+    def restore_older_copy(self):
         """Lose the last changes of all records; their numbers are assigned again."""
         lost = self.random.randrange(6)
         self.records = {
@@ -133,13 +133,13 @@
         }
         self.era += 1
 
-    def is_told(self, number):
+    def knows_era(self, number):
         """Read the store's era; return whether the agent knew it already."""
-        thought, self.told[number] = self.told[number], self.era
-        return thought == self.era
+        known_era, self.known_eras[number] = self.known_eras[number], self.era
+        return known_era == self.era
 
     def keep(self, agent, number):
-        if not self.is_told(number):
+        if not self.knows_era(number):
             return
         self.versions = self.records.setdefault(self.era, [])
         if self.versions:
@@ -156,7 +156,7 @@
 
     def read(self, agent, number):
         self.versions = self.records.get(self.era, [])
-        if self.is_told(number) and self.versions:
+        if self.knows_era(number) and self.versions:
             super().read(agent, number)
 
     def resize(self, agent, number):
@@ -168,10 +168,10 @@
 @then(
     "no key runs twice in {count:d} histories with {slots:d} slots and a restored store"
 )
-def check_return_histories(context, count, slots):
+def check_restored_histories(context, count, slots):
     ran = eras = 0
     for seed in range(count):
-        history = ReturningHistory(seed, slots)
+        history = RestoredHistory(seed, slots)
         for _ in range(300):
             history.step()
         ran += len(history.runs)
@@ -190,7 +190,7 @@
     assert ran > count, "hardly anything ran, so the check proves nothing"
 
 
-def keep_leases(context, agents, seconds):
+def maintain_leases(context, agents, seconds):
     """Let the agents maintain their leases in turn for some seconds."""
     names = {name for name, _ in context.members}
     for _ in range(seconds * 4):
@@ -213,16 +213,16 @@
         (name, SlotOwner("s", Owner(name, "1"), OwnershipSettings())) for name in "abc"
     ]
     agents = [agent for _, agent in context.members]
-    first, context.members = context.members, context.members[:1]
-    keep_leases(context, agents[:1], 5)
+    everyone, context.members = context.members, context.members[:1]
+    maintain_leases(context, agents[:1], 5)
     assert slot_owners(context) == {"a"}
-    context.members = first
-    keep_leases(context, agents, 30)
+    context.members = everyone
+    maintain_leases(context, agents, 30)
     assert slot_owners(context) == {"a", "b", "c"}, slot_owners(context)
 
 
 @then("after one of them becomes silent the others own all slots in the end")
 def check_silent(context):
     agents = [agent for name, agent in context.members if name != "b"]
-    keep_leases(context, agents, 60)
+    maintain_leases(context, agents, 60)
     assert slot_owners(context) == {"a", "c"}, slot_owners(context)
--- a/features/steps/document_steps.py
+++ b/features/steps/document_steps.py
@@ -25,10 +25,10 @@
 
 ENTRIES = st.lists(st.dictionaries(st.text(max_size=4), st.integers(0, 9), max_size=3))
 FIELDS = st.dictionaries(st.text(max_size=5), ENTRIES | st.integers(0, 9) | st.none())
-MOST_CHANGED_PARTS = 2
-MOST_VERSIONS = 4
-BREAKS = 0.3
-MOST_READS = 400
+MAX_CHANGED_CHUNKS = 2
+VERSION_COUNT = 4
+LOST_REPLY_SHARE = 0.3
+MAX_READS = 400
 
 
 def document(fields, revision=1):
@@ -48,17 +48,17 @@
     def check(seed):
         random = Random(seed)
         entries = [random.getrandbits(40) for _ in range(random.randrange(1, 800))]
-        before = {part.digest for part in split({"entries": entries})}
-        place = random.randrange(len(entries))
+        before = {chunk.digest for chunk in split({"entries": entries})}
+        position = random.randrange(len(entries))
         if random.random() < 0.5:
-            del entries[place]
+            del entries[position]
         else:
-            entries.insert(place, random.getrandbits(40))
-        changed = {part.digest for part in split({"entries": entries})} - before
+            entries.insert(position, random.getrandbits(40))
+        changed = {chunk.digest for chunk in split({"entries": entries})} - before
         # A chunk that ends at its maximum size shifts all ends up to the next one that
         # depends on contents.
-        longest = MAX_ENTRIES_PER_CHUNK // MEAN_ENTRIES_PER_CHUNK
-        assert len(changed) <= MOST_CHANGED_PARTS + longest, len(changed)
+        max_shifted_chunks = MAX_ENTRIES_PER_CHUNK // MEAN_ENTRIES_PER_CHUNK
+        assert len(changed) <= MAX_CHANGED_CHUNKS + max_shifted_chunks, len(changed)
 
 
 @then("a document assembled from any peers, with lost replies, is one that a peer had")
@@ -67,18 +67,18 @@
     @checked(st.integers(0, 10_000))
     def check(seed):
         random = Random(seed)
-        versions = list(some_versions(random))
+        versions = list(generate_versions(random))
         own = versions[0] if random.random() < 0.5 else None
-        assembly = DocumentAssembler()
-        for _ in range(MOST_READS):
-            request = assembly.request(own)
+        assembler = DocumentAssembler()
+        for _ in range(MAX_READS):
+            request = assembler.request(own)
             peer = random.choice(versions[1:])
             reply = ChunksReply.of(peer, ChunksRequest.decode(request.encode()))
-            sizes = [len(part.data) for part in reply.chunks]
+            sizes = [len(chunk.data) for chunk in reply.chunks]
             assert sum(sizes[:-1]) < TARGET_REPLY_BYTES
-            if random.random() < BREAKS:
+            if random.random() < LOST_REPLY_SHARE:
                 continue
-            found = assembly.receive_reply(ChunksReply.decode(reply.encode()), own)
+            found = assembler.receive_reply(ChunksReply.decode(reply.encode()), own)
             if found is not None:
                 assert found == peer
                 return
@@ -86,26 +86,26 @@
         raise AssertionError("the document was never complete")
 
 
-def some_versions(random):
+def generate_versions(random):
     entries = [f"{random.getrandbits(64):x}" * 40 for _ in range(random.randrange(900))]
-    for revision in range(1, MOST_VERSIONS + 1):
+    for revision in range(1, VERSION_COUNT + 1):
         entries.insert(random.randrange(len(entries) + 1), f"new {revision}")
         yield document({"version": revision, "entries": list(entries)}, revision)
 
 
 @when("a peer replies with a chunk whose digest it doesn't list")
-def answer_with_other(context):
-    context.assembly = DocumentAssembler()
-    context.request = context.assembly.request(None)
-    named = document({"version": 1})
-    reply = ChunksReply(1, named.digests, (DocumentChunk.of(b'{"version":2}'),))
-    context.found = context.assembly.receive_reply(reply, None)
+def reply_with_unlisted_chunk(context):
+    context.assembler = DocumentAssembler()
+    context.request = context.assembler.request(None)
+    listed = document({"version": 1})
+    reply = ChunksReply(1, listed.digests, (DocumentChunk.of(b'{"version":2}'),))
+    context.found = context.assembler.receive_reply(reply, None)
 
 
 @then("the document isn't complete and the next request is the same")
-def check_not_whole(context):
+def check_incomplete(context):
     assert context.found is None
-    assert context.assembly.request(None) == context.request
+    assert context.assembler.request(None) == context.request
 
 
 @then("decoding a request or a reply raises only errors with a code")
--- a/features/steps/foreign_entry_steps.py
+++ b/features/steps/foreign_entry_steps.py
@@ -20,7 +20,7 @@
 from piershore.platform.exceptions import InvalidObjectError
 from standins import published_store
 
-SOUND = {
+VALID_ENTRY = {
     "service": "desk",
     "address": "127.0.0.1:9",
     "zone": "ikeja",
@@ -48,10 +48,12 @@
 @then("an entry is accepted only if all its fields are as endpoints write them")
 def check_entries(context):
     @checked(
-        st.sampled_from(sorted(SOUND)), ANYTHING | st.just(MISSING), examples=2_000
+        st.sampled_from(sorted(VALID_ENTRY)),
+        ANYTHING | st.just(MISSING),
+        examples=2_000,
     )
     def check(field, value):
-        entry = {**SOUND, field: value}
+        entry = {**VALID_ENTRY, field: value}
         if value is MISSING:
             del entry[field]
         try:
@@ -59,7 +61,7 @@
         except InvalidObjectError:
             return
         assert value is not MISSING or field == "born"
-        assert type(value) is type(SOUND[field]) or field in (
+        assert type(value) is type(VALID_ENTRY[field]) or field in (
             "born",
             "cold_remaining_ms",
         )
@@ -69,19 +71,19 @@
         endpoint.identity.encode("ascii")
 
 
-FOREIGN = {
-    "an unknown state": {**SOUND, "state": "resting"},
-    "no address": {k: v for k, v in SOUND.items() if k != "address"},
-    "a number for the service": {**SOUND, "service": 7},
-    "a negative number of slots": {**SOUND, "slots": -6},
+FOREIGN_ENTRIES = {
+    "an unknown state": {**VALID_ENTRY, "state": "resting"},
+    "no address": {k: v for k, v in VALID_ENTRY.items() if k != "address"},
+    "a number for the service": {**VALID_ENTRY, "service": 7},
+    "a negative number of slots": {**VALID_ENTRY, "slots": -6},
     "an entry that is a string": "desk at 127.0.0.1:9",
     "an entry that is null": None,
-    "bytes that aren't UTF-8": {**SOUND, "service": "%BYTES%"},
-    "a name that can't be sent": SOUND,
-    "a number of 401 digits": {**SOUND, "slots": "%ENDLESS%"},
-    "a start time that is a fraction": {**SOUND, "born": 1.5},
+    "bytes that aren't UTF-8": {**VALID_ENTRY, "service": "%BYTES%"},
+    "a name that can't be sent": VALID_ENTRY,
+    "a number of 401 digits": {**VALID_ENTRY, "slots": "%ENDLESS%"},
+    "a start time that is a fraction": {**VALID_ENTRY, "born": 1.5},
 }
-NAMES = {"a name that can't be sent": "i-9\r\nHost: other"}
+FOREIGN_NAMES = {"a name that can't be sent": "i-9\r\nHost: other"}
 
 
 def _raw_dumps(value):
@@ -103,13 +105,13 @@
     world = context.ingress = IngressWorld()
     world.add_endpoints("desk", 3)
     world.add_endpoints("model", 2)
-    context.entry_name = NAMES.get(entry, "i-9")
-    world.store.put("servers", context.entry_name, FOREIGN[entry])
+    context.entry_name = FOREIGN_NAMES.get(entry, "i-9")
+    world.store.put("servers", context.entry_name, FOREIGN_ENTRIES[entry])
     world.log_output, context.log = tempfile.mkstemp()
 
 
 @when("it reads the entry several times and then serves requests")
-def serve_beside(context):
+def serve_with_foreign_entry(context):
     async def script(world):
         _, daemon = world.gateways[0]
         for _ in range(3):
@@ -132,16 +134,16 @@
 
 
 @when("the entry of a desk endpoint is overwritten and repaired")
-def overwrite(context):
+def overwrite_and_repair(context):
     async def script(world):
         first = world.endpoints[0]
-        sound = first.entry()
-        world.store.put("servers", first.identity, {**sound, "state": "resting"})
+        valid = first.entry()
+        world.store.put("servers", first.identity, {**valid, "state": "resting"})
         await _wait_listed(world, first, is_listed=False)
         first.runs.clear()
         context.replies = [await world.call("once") for _ in range(20)]
         context.meanwhile = first.runs.total()
-        world.store.put("servers", first.identity, sound)
+        world.store.put("servers", first.identity, valid)
         await _wait_listed(world, first, is_listed=True)
         context.replies += [await world.call("once") for _ in range(20)]
         context.after = first.runs.total()
@@ -158,7 +160,7 @@
 
 
 @then("it gets no requests in between, and requests again afterwards")
-def check_mended(context):
+def check_repaired(context):
     assert {reply.status for reply in context.replies} == {200}
     assert context.meanwhile == 0
     assert context.after > 0
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -80,12 +80,12 @@
 
 
 @when("it maintains its leases once")
-def make_round(context):
+def maintain_leases(context):
     trio.run(context.keeper.keep)
 
 
 @then("it has read the record again, and requests the slots for which it is preferred")
-def check_wanted(context):
+def check_requested_slots(context):
     assert context.store.reads == 1
     table = decode(SlotTable, context.store.stored.value)
     wanted = [slot.wanted_by for slot in table.current.slots]
--- a/features/steps/store_return_steps.py
+++ b/features/steps/store_return_steps.py
@@ -33,10 +33,10 @@
 from standins.published_endpoint import PublishedEndpoint
 
 SHORT_SECONDS = 1.0
-LATER_CALLS = 12
-KEPT_SECONDS = 3.0
+CALLS_PER_GATEWAY = 12
+DRAIN_KEPT_SECONDS = 3.0
 """How long a lost drain is kept."""
-LAPSE_SECONDS = 3.6
+ENTRY_EXPIRY_SECONDS = 3.6
 """Three heartbeats, after which the store drops an entry that isn't written."""
 
 
@@ -48,8 +48,8 @@
     context.one_watches = watching == "one watching the store"
 
 
-def play(context, script):
-    async def whole(world):
+def run_script(context, script):
+    async def run_with_watchers(world):
         await wait_for_peers(world)
         if context.one_watches:
             daemon = world.gateways[1][1]
@@ -58,11 +58,11 @@
                 follower.set_watch_condition(daemon._peers.should_watch)
         await script(world)
 
-    context.ingress.run(whole)
+    context.ingress.run(run_with_watchers)
 
 
 @when("the store is restored from a copy 30 changes older, without an endpoint")
-def come_back(context):
+def prepare_restore(context):
     context.steps = [lambda world: restore_copy_without(world, world.endpoints[2])]
 
 
@@ -80,7 +80,7 @@
         context.wanted = {"i-1", "i-2", "i-new"}
         context.known = await wait_for_endpoints(world, context.wanted)
 
-    play(context, script)
+    run_script(context, script)
 
 
 @then("within {seconds:g} s both gateways use the listed endpoints and no other")
@@ -103,23 +103,23 @@
                 ]
                 await trio.sleep(POLL_SECONDS)
         assert not left_early
-        rest = everyone - {world.endpoints[2].identity}
-        context.known = await wait_for_endpoints(world, rest, last - first)
-        assert context.known == [rest] * 2, context.known
+        remaining = everyone - {world.endpoints[2].identity}
+        context.known = await wait_for_endpoints(world, remaining, last - first)
+        assert context.known == [remaining] * 2, context.known
 
-    play(context, script)
+    run_script(context, script)
 
 
 @when(
     "the store is restored without an endpoint, which writes its entry after {seconds:g} s"
 )
-def come_back_and_list(context, seconds):
+def restore_and_list(context, seconds):
     async def script(world):
         everyone = identities(world)
         await restore_copy_without(world, world.endpoints[2])
         context.unknown = []
 
-        async def look():
+        async def record_unknown():
             while True:
                 context.unknown += [
                     n for n in (0, 1) if endpoints_in_use(world, n) != everyone
@@ -127,28 +127,28 @@
                 await trio.sleep(POLL_SECONDS)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(look)
+            nursery.start_soon(record_unknown)
             await trio.sleep(seconds)
             world.list_endpoint(world.endpoints[2])
             await trio.sleep(SETTLE_SECONDS - seconds)
             nursery.cancel_scope.cancel()
 
-    play(context, script)
+    run_script(context, script)
 
 
 @then("neither gateway ever drops it")
-def check_never_gone(context):
+def check_never_dropped(context):
     assert not context.unknown
 
 
 async def send_all(world):
     for number in (0, 1):
-        for _ in range(LATER_CALLS):
+        for _ in range(CALLS_PER_GATEWAY):
             await world.call("once", number=number)
 
 
 @when("the store is restored from a copy in which an endpoint hadn't left yet")
-def come_back_before_leaving(context):
+def restore_before_leaving(context):
     async def script(world):
         leaving, *staying = world.endpoints
         leave = partial(world.list_endpoint, leaving, "draining")
@@ -158,7 +158,7 @@
         await send_all(world)
         context.endpoint = leaving
 
-    play(context, script)
+    run_script(context, script)
 
 
 async def wait_era(world, era, gateways=(0, 1)):
@@ -175,27 +175,27 @@
 
 
 @when("the store is restored from a copy that still lists a removed endpoint")
-def come_back_with_gone(context):
+def restore_with_removed(context):
     async def script(world):
-        gone, *staying = world.endpoints
+        removed, *staying = world.endpoints
         await restore_copy_from_before(
-            world, partial(remove_entry, world, gone), staying
+            world, partial(remove_entry, world, removed), staying
         )
         await wait_era(world, 1)
-        gone.arrivals.clear()
-        with trio.move_on_after(LAPSE_SECONDS):
+        removed.arrivals.clear()
+        with trio.move_on_after(ENTRY_EXPIRY_SECONDS):
             while True:
                 await send_all(world)
-        context.endpoint, context.sent = gone, len(gone.arrivals)
-        gone.data_hall = "lekki"
-        world.list_endpoint(gone)
+        context.endpoint, context.sent = removed, len(removed.arrivals)
+        removed.data_hall = "lekki"
+        world.list_endpoint(removed)
         context.known = await wait_for_endpoints(world, identities(world))
 
-    play(context, script)
+    run_script(context, script)
 
 
 @then("neither gateway sends it requests until its entry has expired")
-def check_held_back(context):
+def check_unsent_until_expiry(context):
     assert context.sent == 0, context.sent
 
 
@@ -211,7 +211,7 @@
 
 
 @when("the store is restored from a copy with the previous configuration")
-def come_back_with_configuration(context):
+def restore_with_configuration(context):
     async def script(world):
         world.store.put("config", "main", with_routes(5, "old"))
         await wait_versions(world, 5)
@@ -233,7 +233,7 @@
         world.store.put("config", "main", with_routes(7, "new", "newer"))
         context.versions = await wait_versions(world, 7)
 
-    play(context, script)
+    run_script(context, script)
 
 
 async def wait_versions(world, version):
@@ -256,7 +256,7 @@
 
 
 @when("the store is restored from a copy without a drain, which is written again")
-def come_back_without_drain(context):
+def restore_without_drain(context):
     async def script(world):
         drained = world.endpoints[0]
         drained.data_hall = "lekki"
@@ -264,14 +264,14 @@
         copy = world.store.copy()
         write_unrelated_entries(world, 30)
         world.store.put("evacuations", "lekki", {})
-        rest = identities(world) - {drained.identity}
-        assert await wait_for_endpoints(world, rest) == [rest] * 2
+        remaining = identities(world) - {drained.identity}
+        assert await wait_for_endpoints(world, remaining) == [remaining] * 2
         drained.arrivals.clear()
         world.store.come_back(copy)
         await trio.sleep(SHORT_SECONDS)
         await send_all(world)
         world.store.put("evacuations", "lekki", {})
-        with trio.move_on_after(KEPT_SECONDS + SHORT_SECONDS):
+        with trio.move_on_after(DRAIN_KEPT_SECONDS + SHORT_SECONDS):
             while True:
                 await send_all(world)
         context.arrivals = len(drained.arrivals)
@@ -280,7 +280,7 @@
         everyone = identities(world)
         assert await wait_for_endpoints(world, everyone) == [everyone] * 2
         world.store.come_back(copy)
-        assert await wait_for_endpoints(world, rest) == [rest] * 2
+        assert await wait_for_endpoints(world, remaining) == [remaining] * 2
         empty = world.store.copy()
         empty.objects["evacuations"].clear()
         world.store.come_back(empty)
@@ -289,7 +289,7 @@
         context.kept = trio.current_time() - started
         context.everyone = everyone
 
-    play(context, script)
+    run_script(context, script)
 
 
 @then("no request was sent to the drained data hall")
@@ -303,7 +303,7 @@
     assert context.kept >= seconds, context.kept
 
 
-def log_of(context):
+def capture_log(context):
     context.ingress.log_output, context.log = tempfile.mkstemp()
 
 
@@ -315,8 +315,8 @@
 
 @when('the store\'s answers have the era "{era}" after era {first:d}')
 @when('the store\'s answers have the era "" after era {first:d}')
-def tell_era(context, first, era=""):
-    log_of(context)
+def answer_with_era(context, first, era=""):
+    capture_log(context)
 
     async def script(world):
         world.store.era = first
@@ -343,29 +343,29 @@
 
 
 @when("the store's answers have an era of {digits:d} digits after era {first:d}")
-def tell_long_era(context, digits, first):
-    tell_era(context, first, "9" * digits)
+def answer_with_long_era(context, digits, first):
+    answer_with_era(context, first, "9" * digits)
 
 
 @then("the gateway continues, and logs the fault once")
-def check_goes_on(context):
+def check_continues(context):
     assert context.known == {"i-0", "i-1", "i-2", "i-new"}, context.known
-    told = [e["reason"] for e in findings(context)]
-    assert told, "no fault was logged"
-    assert len(told) == len(set(told)) or len(told) <= 3, told
+    reasons = [e["reason"] for e in findings(context)]
+    assert reasons, "no fault was logged"
+    assert len(reasons) == len(set(reasons)) or len(reasons) <= 3, reasons
 
 
 @when("the store answers from era {earlier:d} after era {first:d}")
-def answer_earlier(context, earlier, first):
+def answer_from_earlier_era(context, earlier, first):
     async def script(world):
         world.store.era = first
         world.gateways[0][1]._endpoints.restart()
         await wait_era(world, first, gateways=(0,))
         copy = world.store.copy()
         remove_entry(world, world.endpoints[0])
-        rest = identities(world) - {"i-0"}
+        remaining = identities(world) - {"i-0"}
         desk = {"i-1", "i-2"}
-        assert rest
+        assert remaining
         with trio.fail_after(SETTLE_SECONDS):
             while endpoints_in_use(world, 0) != desk:
                 await trio.sleep(POLL_SECONDS)
@@ -438,7 +438,7 @@
 
 
 @then("answers of the true era are ignored for {seconds:g} s, and then accepted")
-def check_fall(context, seconds):
+def check_ignored_eras(context, seconds):
     era = StoreEra()
     assert era.observe("3", 0.0)
     assert era.observe("4000", 1.0)
--- a/features/steps/suspended_box_steps.py
+++ b/features/steps/suspended_box_steps.py
@@ -10,21 +10,21 @@
 
 from piershore.boot_clock import BootClock, read_boot_time
 
-CALL_AFTER_SECONDS = 0.05
-LONGEST_WAIT_SECONDS = 6.0
+SUSPEND_AFTER_SECONDS = 0.05
+MAX_WAIT_SECONDS = 6.0
 
 
 class SuspendedTime:
     """Time since the box was booted, including suspensions of the box."""
 
     def __init__(self):
-        self.paused = 0.0
+        self.suspended_seconds = 0.0
 
     def __call__(self):
-        return time.monotonic() + self.paused
+        return time.monotonic() + self.suspended_seconds
 
 
-def with_clock(context):
+def use_suspendable_clock(context):
     context.time = SuspendedTime()
     context.ingress.clock = BootClock(context.time)
 
@@ -38,16 +38,16 @@
 
 @when("a repeatable request waits and the box is suspended for {seconds:g} s")
 def suspend_call(context, seconds):
-    with_clock(context)
+    use_suspendable_clock(context)
 
     async def script(world):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_call, context)
             while not world.arrivals():
                 await trio.sleep(0.005)
-            await trio.sleep(CALL_AFTER_SECONDS)
-            context.time.paused += seconds
-            context.woken_at = time.monotonic()
+            await trio.sleep(SUSPEND_AFTER_SECONDS)
+            context.time.suspended_seconds += seconds
+            context.resumed_at = time.monotonic()
 
     context.ingress.run(script)
 
@@ -60,9 +60,9 @@
 @then(
     "no endpoint gets it after the suspension, and it is answered within {seconds:g} s"
 )
-def check_over(context, seconds):
+def check_timed_out(context, seconds):
     assert len(context.ingress.arrivals()) == 1, len(context.ingress.arrivals())
-    assert context.answered_at - context.woken_at < seconds
+    assert context.answered_at - context.resumed_at < seconds
     assert context.reply.status == 504, vars(context.reply)
 
 
@@ -71,27 +71,27 @@
     " lost"
 )
 def suspend_watch(context, seconds):
-    with_clock(context)
+    use_suspendable_clock(context)
 
     async def script(world):
         _, daemon = world.gateways[0]
         leaving = world.endpoints[0]
-        await _wait_watch(world)
+        await _wait_for_watch_start(world)
         world.store.is_deaf = True
         world.list_endpoint(leaving, "draining")
         await trio.sleep(0.05)
         world.store.is_deaf = False
-        context.time.paused += seconds
-        woken_at = time.monotonic()
-        with trio.move_on_after(LONGEST_WAIT_SECONDS):
+        context.time.suspended_seconds += seconds
+        resumed_at = time.monotonic()
+        with trio.move_on_after(MAX_WAIT_SECONDS):
             while not daemon._state.directory.is_leaving(leaving.identity):
                 await trio.sleep(0.005)
-        context.known_after = time.monotonic() - woken_at
+        context.known_after = time.monotonic() - resumed_at
 
     context.ingress.run(script)
 
 
-async def _wait_watch(world):
+async def _wait_for_watch_start(world):
     """Wait until a watch starts, so that it doesn't end soon."""
     begun = len(world.store.watch_times)
     while not any(kind == "servers" for kind, _ in world.store.watch_times[begun:]):
@@ -108,7 +108,7 @@
     read = SuspendedTime()
     clock = BootClock(read)
     before = clock.current_time()
-    read.paused += 7.0
+    read.suspended_seconds += 7.0
     assert 7.0 <= clock.current_time() - before < 8.0
     assert clock.deadline_to_sleep_time(before + 7.0) <= 0.0
     assert abs(BootClock().current_time() - read_boot_time()) < 1.0
--- a/features/support/restorable_store.py
+++ b/features/support/restorable_store.py
@@ -24,8 +24,8 @@
 CALL_SECONDS = (0.001, 0.03)
 WATCH_SECONDS = 1.0
 POLL_SECONDS = 0.02
-IDS_KEPT = 8
-LOST_ANSWERS = 0.05
+MAX_WRITE_IDS = 8
+LOST_ANSWER_SHARE = 0.05
 
 
 @dataclass(frozen=True)
@@ -101,7 +101,7 @@
         await self._call()
         current = self._store.objects.get(name)
         ids = () if current is None else current.write_ids
-        kept = (*ids, write_id)[-IDS_KEPT:]
+        kept = (*ids, write_id)[-MAX_WRITE_IDS:]
         written = self._store.write(name, value, version, kept, era)
         await self._answer()
         return written
@@ -125,20 +125,22 @@
             reached = StoreRevision.of(self._era, self._store.number)
             yield reached
             with trio.move_on_after(WATCH_SECONDS):
-                while self._store.number == reached.number and not self._is_away():
+                while (
+                    self._store.number == reached.number and not self._is_unavailable()
+                ):
                     await trio.sleep(POLL_SECONDS)
 
     async def _answer(self) -> None:
         era = self._store.era
         await trio.sleep(self._store.random.uniform(*CALL_SECONDS))
-        if self._store.era != era or self._store.random.random() < LOST_ANSWERS:
+        if self._store.era != era or self._store.random.random() < LOST_ANSWER_SHARE:
             raise WriteUncertainError("the answer was lost")
 
     async def _call(self) -> None:
         await trio.sleep(self._store.random.uniform(*CALL_SECONDS))
-        if self._is_away():
+        if self._is_unavailable():
             raise PlatformUnavailableError("the store is unavailable")
         self._era = self._store.era
 
-    def _is_away(self) -> bool:
+    def _is_unavailable(self) -> bool:
         return self.is_cut or self._store.is_out
--- a/features/support/store_returns.py
+++ b/features/support/store_returns.py
@@ -52,8 +52,8 @@
     copy = world.store.copy()
     write_unrelated_entries(world, 30)
     change()
-    rest = {endpoint.identity for endpoint in staying}
-    assert await wait_for_endpoints(world, rest) == [rest] * 2
+    remaining = {endpoint.identity for endpoint in staying}
+    assert await wait_for_endpoints(world, remaining) == [remaining] * 2
     world.store.come_back(copy)
 
 
