--- a/features/core.feature
+++ b/features/core.feature
@@ -67,7 +67,7 @@
       | fixed_slots     | more come than there are slots                | as many run as there are slots                |
       | memory_free_now | learned long answers would outgrow the engine | all that fit now are started                  |
 
-  Scenario Outline: An account's limit over gateways, <case>
+  Scenario Outline: An account's rate limit across gateways, <case>
     Then with <case> no more than the stated bound is admitted
 
     Examples:
@@ -75,19 +75,19 @@
       | one gateway                       |
       | four gateways with equal shares   |
 
-  Scenario: An answer that is never begun stops counting against its account
+  Scenario: An answer that is dropped before its start no longer counts against its account
     Then an account with one concurrent request is free again when its answer is dropped
 
-  Scenario Outline: The apertures of <gateways> gateways over <endpoints> endpoints
-    Then with <gateways> gateways, <endpoints> endpoints and an aperture of <size> every endpoint has <least> to <most> links
+  Scenario Outline: Apertures of <gateways> gateways with <endpoints> endpoints
+    Then with <gateways> gateways, <endpoints> endpoints and an aperture of <size> every endpoint has <min> to <max> links
     And each gateway has some links to other data halls, and one endpoint less moves few links
 
     Examples:
-      | gateways | endpoints | size | least | most |
-      | 2        | 6         | 32   | 2     | 2    |
-      | 410      | 460       | 32   | 5     | 64   |
+      | gateways | endpoints | size | min | max |
+      | 2        | 6         | 32   | 2   | 2   |
+      | 410      | 460       | 32   | 5   | 64  |
 
-  Scenario: Retries are bound to first tries
+  Scenario: The retry budget is a share of the first attempts
     Then 1000 first tries with a share of 0.1 allow no more than 120 retries
     And 6 gateways with 1200 first tries together allow no more than 140 retries
 
--- a/features/store_returns.feature
+++ b/features/store_returns.feature
@@ -17,7 +17,7 @@
       | after  | each watching the store |
       | after  | one watching the store  |
 
-  Scenario: an endpoint whose entry was lost is kept for a while, and dropped without it
+  Scenario: an endpoint whose entry was lost is kept briefly, then dropped
     Given 2 gateways in front of 3 desk endpoints, each watching the store
     When the store is restored from a copy 30 changes older, without an endpoint
     Then both gateways use the endpoint for 1 s more, and after 5 s neither does
--- a/src/piershore/core/configuration/config_view.py
+++ b/src/piershore/core/configuration/config_view.py
@@ -64,7 +64,7 @@
 
     @property
     def unconfirmed(self) -> frozenset[ObjectName]:
-        """Objects in force from an earlier era that a snapshot had otherwise."""
+        """Objects of an earlier era that differ in the snapshot of a later era."""
         return frozenset(self._unconfirmed)
 
     def confirm(self, name: ObjectName) -> None:
