--- a/features/core.feature
+++ b/features/core.feature
@@ -56,19 +56,19 @@
     Then <result>
 
     Examples:
-      | policy          | situation                                     | result                                        |
-      | projected_peak  | one request is longer than the engine         | it is refused at once as too_long_for_engine  |
-      | projected_peak  | more come than the queue holds                | the last is refused at once as queue_full     |
-      | projected_peak  | the queue can't reach a request by its deadline | it is refused at once as deadline_unreachable |
-      | projected_peak  | an urgent request comes after many others     | it is started first of those that wait        |
-      | projected_peak  | the engine is empty and the request is huge   | it is started                                 |
-      | projected_peak  | learned long answers would outgrow the engine | fewer are started than fit now                |
-      | projected_peak  | learned short answers leave room              | more are started than with the maximum reserved |
-      | fixed_slots     | more come than there are slots                | as many run as there are slots                |
-      | memory_free_now | learned long answers would outgrow the engine | all that fit now are started                  |
+      | policy          | situation                                             | result                                             |
+      | projected_peak  | one request exceeds the engine's memory               | it is refused immediately as too_long_for_engine   |
+      | projected_peak  | more requests arrive than the queue holds             | the last is refused immediately as queue_full      |
+      | projected_peak  | the queue can't reach a request by its deadline       | it is refused immediately as deadline_unreachable  |
+      | projected_peak  | an urgent request arrives after many others           | it is the first waiting request to be started      |
+      | projected_peak  | the engine is empty and the request is huge           | it is started                                      |
+      | projected_peak  | learned long answers would exceed the engine's memory | fewer are started than fit now                     |
+      | projected_peak  | learned short answers leave memory free               | more are started than if each reserved its maximum |
+      | fixed_slots     | more requests arrive than there are slots             | as many run as there are slots                     |
+      | memory_free_now | learned long answers would exceed the engine's memory | all that fit now are started                       |
 
   Scenario Outline: An account's rate limit across gateways, <case>
-    Then with <case> no more than the stated bound is admitted
+    Then with <case> no more requests than the limit and a burst are admitted
 
     Examples:
       | case                              |
@@ -76,11 +76,11 @@
       | four gateways with equal shares   |
 
   Scenario: An answer that is dropped before its start no longer counts against its account
-    Then an account with one concurrent request is free again when its answer is dropped
+    Then the concurrency limit of an account is free again when its answer is dropped
 
   Scenario Outline: Apertures of <gateways> gateways with <endpoints> endpoints
     Then with <gateways> gateways, <endpoints> endpoints and an aperture of <size> every endpoint has <min> to <max> links
-    And each gateway has some links to other data halls, and one endpoint less moves few links
+    And each gateway has some links to other data halls, and removing one endpoint moves few links
 
     Examples:
       | gateways | endpoints | size | min | max |
@@ -88,8 +88,8 @@
       | 410      | 460       | 32   | 5   | 64  |
 
   Scenario: The retry budget is a share of the first attempts
-    Then 1000 first tries with a share of 0.1 allow no more than 120 retries
-    And 6 gateways with 1200 first tries together allow no more than 140 retries
+    Then 1000 first attempts with a share of 0.1 allow no more than 120 retries
+    And 6 gateways with 1200 first attempts in total allow no more than 140 retries
 
   @planned_stop_cuts_nothing
   Scenario: A generation ends at the moment at which its agent stops
--- a/features/steps/core_admission_steps.py
+++ b/features/steps/core_admission_steps.py
@@ -46,13 +46,13 @@
         context.queue.submit(candidate(number, **named), 1.0)
 
 
-@when("one request is longer than the engine")
+@when("one request exceeds the engine's memory")
 def submit_too_long(context):
     context.queue.submit(candidate("last", prompt=5_000), 1.0)
     poll(context)
 
 
-@when("more come than the queue holds")
+@when("more requests arrive than the queue holds")
 def submit_too_many(context):
     submit_many(context, 30)
     context.queue.submit(candidate("last"), 1.0)
@@ -69,7 +69,7 @@
     poll(context, 10.0)
 
 
-@when("an urgent request comes after many others")
+@when("an urgent request arrives after many others")
 def submit_urgent(context):
     submit_many(context, 20, max_tokens=3_000)
     context.queue.submit(candidate("last", priority=9), 1.0)
@@ -82,21 +82,21 @@
     poll(context)
 
 
-@when("learned long answers would outgrow the engine")
+@when("learned long answers would exceed the engine's memory")
 def submit_long(context):
     train(context, 900)
     submit_many(context, 20)
     poll(context)
 
 
-@when("learned short answers leave room")
+@when("learned short answers leave memory free")
 def submit_short(context):
     train(context, 20)
     submit_many(context, 20)
     poll(context)
 
 
-@when("more come than there are slots")
+@when("more requests arrive than there are slots")
 def submit_beyond_slots(context):
     submit_many(context, 20)
     poll(context)
@@ -106,8 +106,8 @@
     return [a.candidate.identity for a in context.actions if isinstance(a, Start)]
 
 
-@then("it is refused at once as {reason}")
-@then("the last is refused at once as {reason}")
+@then("it is refused immediately as {reason}")
+@then("the last is refused immediately as {reason}")
 def check_refused(context, reason):
     refused = [a for a in context.actions if isinstance(a, Refuse)]
     found = {a.candidate.identity: a for a in refused}
@@ -115,7 +115,7 @@
     assert reason == "too_long_for_engine" or found["clast"].retry_after >= 1
 
 
-@then("it is started first of those that wait")
+@then("it is the first waiting request to be started")
 def check_first(context):
     assert started(context)[0] == "clast", started(context)
 
@@ -135,7 +135,7 @@
     assert len(started(context)) == 20, started(context)
 
 
-@then("more are started than with the maximum reserved")
+@then("more are started than if each reserved its maximum")
 def check_more(context):
     assert len(started(context)) > 4_000 // 1_100, started(context)
 
--- a/features/steps/core_limit_steps.py
+++ b/features/steps/core_limit_steps.py
@@ -18,7 +18,7 @@
 }
 
 
-@then("with {case} no more than the stated bound is admitted")
+@then("with {case} no more requests than the limit and a burst are admitted")
 def check_limit(context, case):
     gateways, share = CASES[case]
     limits = AccountLimits(20.0, None)
@@ -34,7 +34,7 @@
 
 
 @then(
-    "{attempts:d} first tries with a share of {share:f} allow no more than "
+    "{attempts:d} first attempts with a share of {share:f} allow no more than "
     "{maximum:d} retries"
 )
 def check_budget(context, attempts, share, maximum):
@@ -44,7 +44,7 @@
 
 
 @then(
-    "{gateways:d} gateways with {attempts:d} first tries together allow no more than "
+    "{gateways:d} gateways with {attempts:d} first attempts in total allow no more than "
     "{maximum:d} retries"
 )
 def check_shared_budget(context, gateways, attempts, maximum):
@@ -91,7 +91,7 @@
 
 
 @then(
-    "each gateway has some links to other data halls, and one endpoint less "
+    "each gateway has some links to other data halls, and removing one endpoint "
     "moves few links"
 )
 def check_remote(context):
@@ -103,7 +103,7 @@
         assert len(names - fewer[gateway]) <= 1
 
 
-@then("an account with one concurrent request is free again when its answer is dropped")
+@then("the concurrency limit of an account is free again when its answer is dropped")
 def check_admission(context):
     limiter = AccountLimiter()
     limits = AccountLimits(None, 1)
