--- a/features/steps/suspended_box_steps.py
+++ b/features/steps/suspended_box_steps.py
@@ -93,8 +93,8 @@
 
 async def _wait_for_watch_start(world):
     """Wait until a watch starts, so that it doesn't end soon."""
-    begun = len(world.store.watch_times)
-    while not any(kind == "servers" for kind, _ in world.store.watch_times[begun:]):
+    started = len(world.store.watch_times)
+    while not any(kind == "servers" for kind, _ in world.store.watch_times[started:]):
         await trio.sleep(0.005)
 
 
