--- a/src/piershore/platform/box_settings_file.py
+++ b/src/piershore/platform/box_settings_file.py
@@ -1,6 +1,6 @@
-"""The platform's settings file of a process.
+"""Reads the settings file that the platform writes for each process.
 
-Each line is `a.b=value`; lists are joined by commas. Unknown fields are passed over.
+Each line is `a.b=value`; lists are separated by commas. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -24,7 +24,10 @@
 
 
 def load_box_settings() -> BoxSettings:
-    """Read the file that the platform names in the environment."""
+    """Read the file whose path the platform sets in the environment.
+
+    Raise `InvalidSettingsError` if the file is missing or invalid.
+    """
     path = os.environ.get(PATH_VARIABLE)
     if path is None:
         message = f"{PATH_VARIABLE} is not set"
@@ -37,7 +40,7 @@
 
 
 def read_box_settings(file: str, text: str) -> BoxSettings:
-    """Read the lines; raise `InvalidSettingsError` with every fault found."""
+    """Parse the lines of `file`; raise `InvalidSettingsError` with all errors."""
     reader = _Reader(file, dict(read_fields(text)))
     settings = BoxSettings(
         name=reader.text("node_name"),
@@ -64,12 +67,12 @@
 
 
 def _finding(file: str, name: str, message: str) -> Finding:
-    """Return a finding; the platform writes the file, so its lines say little."""
+    """Return a finding without a line: the platform writes the file, not a person."""
     return Finding(file, 0, name, "invalid_value", message)
 
 
 class _Reader:
-    """Typed reading that collects findings."""
+    """Parses fields to their types and collects what is invalid."""
 
     def __init__(self, file: str, fields: Mapping[str, str]) -> None:
         self._file = file
--- a/src/piershore/platform/callers_port.py
+++ b/src/piershore/platform/callers_port.py
@@ -1,4 +1,4 @@
-"""The callers' port of a process that starts, by the platform's settings."""
+"""Opens the port for callers early in the start of a process."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def open_callers_port() -> None:
-    """Listen on the port that the settings name, if that can be done now.
+    """Listen on the callers' port from the platform's settings, if possible.
 
-    Settings are checked, and faults told, later in the start.
+    Errors are ignored here: the settings are validated later in the start.
     """
     try:
         with open(os.environ.get(PATH_VARIABLE, ""), encoding="utf-8") as file:
--- a/src/piershore/platform/endpoint_codec.py
+++ b/src/piershore/platform/endpoint_codec.py
@@ -1,7 +1,7 @@
-"""The platform's list of endpoints, decoded into the product's types.
+"""Decodes entries of the platform's list of endpoints.
 
-Anybody may write into the list: an entry that isn't as an endpoint writes it names no
-endpoint, however little is wrong with it.
+Any process may write to the list, so an entry is rejected if any of its fields differs
+from what an endpoint writes.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 STAGES = {"ready": EndpointStage.READY, "draining": EndpointStage.LEAVING}
 LARGEST_PORT = 65_535
 MOST_SLOTS = 100_000
-"""Far above the batch of any engine."""
+"""Far more than the batch size of any engine."""
 LARGEST_COUNT = 2**63
 LATEST_BORN = 10**14
 """Milliseconds since 1970: the year 5138."""
 LONGEST_COLD_MILLISECONDS = 3_600_000
-"""An hour; endpoints are cold for some seconds."""
+"""An hour; endpoints warm up within seconds."""
 
 
 def decode_endpoint(name: str, spec: Mapping) -> Endpoint:
-    """Decode one entry; raise `InvalidObjectError` if a field can't be read."""
+    """Decode one entry; raise `InvalidObjectError` if a field is invalid."""
     if not isinstance(spec, Mapping):
-        raise _invalid(name, "is no object")
+        raise _invalid(name, "is not an object")
     reader = _EntryReader(name, spec)
     reader.word("version")
     reader.whole("sequence", 0, LARGEST_COUNT)
@@ -44,22 +44,22 @@
 
 
 class _EntryReader:
-    """Typed reading of one entry's fields."""
+    """Validates and converts the fields of one entry."""
 
     def __init__(self, name: str, spec: Mapping) -> None:
         self._name = name
         self._spec = spec
 
     def own_name(self) -> str:
-        """Return the entry's name, which goes into heads of requests."""
+        """Return the entry's name; it must be valid in the header of a request."""
         if not _is_word(self._name):
-            raise _invalid(self._name, "has a name that can't be sent")
+            raise _invalid(self._name, "the name is not valid in a header")
         return self._name
 
     def word(self, field: str) -> str:
         value = self._spec.get(field)
         if not isinstance(value, str) or not _is_word(value):
-            raise self._found(field, "is no word")
+            raise self._found(field, "is not a word of visible ASCII characters")
         return value
 
     def address(self, field: str) -> Address:
@@ -69,7 +69,7 @@
         except ValueError as error:
             raise self._found(field, str(error)) from error
         if not 0 < address.port <= LARGEST_PORT:
-            raise self._found(field, "has no port")
+            raise self._found(field, "has no valid port")
         return address
 
     def whole(
@@ -77,22 +77,22 @@
     ) -> int:
         value = self._spec.get(field, default)
         if type(value) is not int or not least <= value <= most:
-            raise self._found(field, f"is no whole number from {least} to {most}")
+            raise self._found(field, f"is not an integer from {least} to {most}")
         return value
 
     def milliseconds(self, field: str) -> float:
-        """Return a time in seconds."""
+        """Convert a duration in milliseconds to seconds."""
         value = self._spec.get(field)
         if type(value) not in (int, float) or not isfinite(value):
-            raise self._found(field, "is no number")
+            raise self._found(field, "is not a number")
         if not 0 <= value <= LONGEST_COLD_MILLISECONDS:
-            raise self._found(field, "is no time that can be meant")
+            raise self._found(field, "is not a plausible duration")
         return value / 1_000
 
     def stage(self, field: str) -> EndpointStage:
         stage = STAGES.get(self.word(field))
         if stage is None:
-            raise self._found(field, "is not known")
+            raise self._found(field, "is unknown")
         return stage
 
     def _found(self, field: str, fault: str) -> InvalidObjectError:
@@ -100,9 +100,9 @@
 
 
 def _invalid(name: str, fault: str) -> InvalidObjectError:
-    return InvalidObjectError(f"endpoint {name!r} can't be read: {fault}")
+    return InvalidObjectError(f"endpoint {name!r} is invalid: {fault}")
 
 
 def _is_word(text: str) -> bool:
-    """Tell whether a text has only visible ASCII characters, and at least one."""
+    """Return whether a text is not empty and has only visible ASCII characters."""
     return bool(text) and text.isascii() and text.isprintable() and " " not in text
--- a/src/piershore/platform/engine_mover.py
+++ b/src/piershore/platform/engine_mover.py
@@ -1,4 +1,4 @@
-"""The engines' calls that move a generation's memory."""
+"""Moves the memory of generations between engines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EngineMover(GenerationMover):
-    """Moves over the engines' own interface."""
+    """Moves generations by the engines' HTTP interface."""
 
     async def move(
         self,
@@ -25,8 +25,11 @@
         *,
         is_last: bool,
     ) -> MoveResult | None:
-        """Copy what is new; with `is_last`, the run stops first."""
-        # The engine calls the address of the receiving engine `target_version`.
+        """Copy the memory that is new; with `is_last`, stop the run first.
+
+        Return None if the generation can't be moved. Raise `ExchangeBrokenError`.
+        """
+        # `target_version` is the engine's name for the address of the target.
         body = orjson.dumps(
             {"id": request_id, "target_version": str(target), "last": is_last}
         )
@@ -36,13 +39,13 @@
         if head.status == STATUS_OK:
             copied = _copy_at(source, answer)
             if copied is None:
-                raise ExchangeBrokenError("the answer to a move can't be read")
+                raise ExchangeBrokenError("invalid answer to a move")
             return copied
-        # The source keeps the memory of a run that stopped, and names it.
+        # If the run stopped, the source keeps its memory and returns the handle.
         return _copy_at(source, answer) if is_last else None
 
     async def release(self, connection: ClientConnection, copy: MemoryCopy) -> None:
-        """Free a copy that won't be used."""
+        """Free a copy that will not be used."""
         path = f"/kv-handle/{copy.name}".encode()
         await connection.send(_head(b"DELETE", path, copy.holder, 0), b"")
         await connection.read_head()
@@ -50,7 +53,7 @@
 
 
 def _copy_at(source: Address, answer: bytes) -> MoveResult | None:
-    """Return the copy that an answer names, if it names one."""
+    """Return the copy whose handle an answer contains, or None."""
     try:
         found = orjson.loads(answer)
         return MoveResult(MemoryCopy(source, str(found["handle"])))
--- a/src/piershore/platform/engine_reports.py
+++ b/src/piershore/platform/engine_reports.py
@@ -1,4 +1,4 @@
-"""What an engine says of itself when it is asked."""
+"""Probes engines for their reports."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class EngineReports(EndpointProber):
-    """Asks for an engine's report, which takes no place in its batch."""
+    """Requests an engine's report, which takes no slot of its batch."""
 
     async def probe(
         self, connection: ClientConnection, address: Address
     ) -> EndpointReport:
-        """Ask an engine; raise `ExchangeBrokenError` if it tells nothing proper."""
+        """Request the report; raise `ExchangeBrokenError` if there is none."""
         headers = ((b"host", str(address).encode()),)
         await connection.send(RequestHead(b"GET", b"/report", headers), b"")
         head = await connection.read_head()
         body = await connection.read_body()
         if head.status != STATUS_OK:
-            raise ExchangeBrokenError(f"no report, status {head.status}")
+            raise ExchangeBrokenError(f"no report: status {head.status}")
         try:
             return _decode(orjson.loads(body))
         except (
@@ -39,13 +39,13 @@
             LookupError,
             OverflowError,
         ) as error:
-            raise ExchangeBrokenError(f"not a report: {error!r}") from error
+            raise ExchangeBrokenError(f"invalid report: {error!r}") from error
 
 
 def _decode(report: dict[str, Any]) -> EndpointReport:
-    # Time until it goes; only told once that is known.
+    # Milliseconds until the engine leaves; present once that is known.
     leaves_in = report.get("leaves_ms")
-    # Each run: request, tokens in memory, events made, priority.
+    # Each run: request, tokens in memory, generated events, priority.
     runs = report.get("runs") or ()
     born = report.get("born")
     return EndpointReport(
--- a/src/piershore/platform/exceptions.py
+++ b/src/piershore/platform/exceptions.py
@@ -12,13 +12,13 @@
 
 
 class PlatformUnavailableError(PiershoreError):
-    """The platform can't be reached or is too slow; nothing was written."""
+    """The platform is unreachable or too slow; nothing was written."""
 
     code = "platform_unavailable"
 
 
 class WriteUncertainError(PiershoreError):
-    """The answer to a write was lost; it may have taken effect."""
+    """The answer to a write was lost; the write may have taken effect."""
 
     code = "write_uncertain"
 
@@ -30,7 +30,10 @@
 
 
 class StaleVersionError(PiershoreError):
-    """The object has changed since the version that the write named."""
+    """The object is no longer at the version that a conditional write expects.
+
+    `current` is the object as it is now; None if it doesn't exist.
+    """
 
     code = "version_conflict"
 
@@ -40,13 +43,16 @@
 
 
 class InvalidObjectError(PiershoreError):
-    """An object of the platform doesn't hold what it should."""
+    """The content of an object in the platform's store is invalid."""
 
     code = "invalid_object"
 
 
 class ObjectConflictError(PiershoreError):
-    """An object isn't at the revision that a write named; `current` is as it is."""
+    """An object is no longer at the revision that a conditional write expects.
+
+    `current` is the object as it is now; None if it doesn't exist.
+    """
 
     code = "object_conflict"
 
--- a/src/piershore/platform/feeds.py
+++ b/src/piershore/platform/feeds.py
@@ -1,4 +1,4 @@
-"""Configuration and endpoints as they are followed in the platform's store."""
+"""Feeds of configuration, drains and endpoints from the platform's store."""
 
 from __future__ import annotations
 
@@ -35,22 +35,22 @@
 CONFIGURATION_NAME = "main"
 ENDPOINT_KIND = "servers"
 DRAIN_KIND = "evacuations"
-"""Objects that are each named after a data hall."""
+"""Each object has the name of a drained data hall."""
 
 
 class _StoredFeed(StoreFeed):
-    """A feed with a connection of its own."""
+    """A feed with its own connection to the store."""
 
     def __init__(self, store: Address) -> None:
         self._client = ObjectClient(store)
 
     @property
     def last_received_at(self) -> float:
-        """When something of an answer came last, by trio's clock."""
+        """When bytes of an answer were last received, by trio's clock."""
         return self._client.heard_at
 
     def pop_era_finding(self) -> str:
-        """Return what was wrong with the era of answers, each fault once."""
+        """Return what was wrong with the era of answers, each fault only once."""
         return self._client.era.take_finding()
 
     async def close(self) -> None:
@@ -59,7 +59,7 @@
 
 
 class StoredConfigurationFeed(_StoredFeed, ConfigurationFeed):
-    """The one object that holds the newest configuration in whole."""
+    """The object that contains the complete newest configuration."""
 
     async def read(self) -> tuple[Document | None, StoreRevision]:
         """Return the newest document, if there is one, and the revision."""
@@ -82,42 +82,45 @@
         return None if newest is None else await document_of(newest, reached), reached
 
     def decode_chunk(self, part: DocumentChunk) -> PartialConfiguration:
-        """Decode one part of a document."""
+        """Decode one chunk of a document."""
         try:
             fields = orjson.loads(part.data)
         except orjson.JSONDecodeError as error:
-            raise InvalidObjectError(f"a part is no JSON: {error}") from error
+            raise InvalidObjectError(f"a chunk is not JSON: {error}") from error
         return decode_piece(fields)
 
     def join(self, pieces: Iterable[PartialConfiguration]) -> ServingConfiguration:
-        """Join the decoded parts of a whole document."""
+        """Join the decoded chunks of a complete document."""
         return join_decoded(pieces)
 
 
 async def document_of(spec: Mapping, revision: StoreRevision) -> Document:
-    """Return the document of an object's fields, split in turns with other work."""
+    """Split the fields of an object into the chunks of a document.
+
+    Other tasks run between the chunks. Raise `InvalidObjectError`.
+    """
     if not isinstance(spec, Mapping):
-        raise InvalidObjectError("the configuration is no object")
+        raise InvalidObjectError("the configuration is not an object")
     return Document(
         revision, tuple([part async for part in with_checkpoints(split(spec))])
     )
 
 
 class StoredDrainFeed(_StoredFeed, DrainFeed):
-    """The operators' requests that the endpoints of a data hall get nothing new."""
+    """The operators' requests to drain data halls, which then get no new work."""
 
     def __init__(self, store: Address) -> None:
         super().__init__(store)
         self._data_halls: set[str] = set()
 
     async def read(self) -> DrainedHalls:
-        """Return the data halls that are drained."""
+        """Return the drained data halls."""
         listed = await self._client.list(DRAIN_KIND)
         self._data_halls = {item.name for item in listed.objects}
         return self._view(listed.revision)
 
     async def changes(self, revision: StoreRevision, wait: float) -> DrainedHalls:
-        """Wait for a change; return the data halls that are drained after it."""
+        """Wait for changes; return the data halls that are drained then."""
         batch = await self._client.watch(DRAIN_KIND, revision, wait)
         for change in batch.changes:
             if change.is_gone:
@@ -127,7 +130,7 @@
         return self._view(_reached(batch, revision))
 
     def resume_from(self, drained: DrainedHalls) -> None:
-        """Take what peers know, to watch for changes after it."""
+        """Continue from the view of a peer, to watch for later changes."""
         self._data_halls = set(drained.data_halls)
 
     def _view(self, revision: StoreRevision) -> DrainedHalls:
@@ -135,7 +138,7 @@
 
 
 class StoredEndpointFeed(_StoredFeed, EndpointFeed):
-    """The entries that endpoints keep of themselves."""
+    """The entries that endpoints write about themselves."""
 
     def __init__(self, store: Address) -> None:
         super().__init__(store)
@@ -154,12 +157,12 @@
     async def changes(
         self, revision: StoreRevision, wait: float
     ) -> tuple[tuple[EndpointChange, ...], StoreRevision]:
-        """Wait for changes."""
+        """Wait for changes; return them and the revision reached."""
         batch = await self._client.watch(ENDPOINT_KIND, revision, wait)
         return tuple(map(self._change, batch.changes)), _reached(batch, revision)
 
     def pop_findings(self) -> list[str]:
-        """Return what was wrong with entries since the last call."""
+        """Return the errors found in entries since the last call."""
         findings, self._findings = self._findings, []
         return findings
 
@@ -171,9 +174,9 @@
         return EndpointChange(name, self._decode(change.object))
 
     def _decode(self, item: PlatformObject) -> Endpoint | None:
-        """Decode an entry; one that is faulty names no endpoint and hides no other.
+        """Decode an entry; return None if it is invalid, so that others stay usable.
 
-        A fault is told once, not at each read.
+        The error of an entry is reported once, not at each read.
         """
         try:
             endpoint = decode_endpoint(item.name, item.spec)
@@ -187,9 +190,9 @@
 
 
 def _reached(batch: ObjectChanges, revision: StoreRevision) -> StoreRevision:
-    """Return the revision to go on from.
+    """Return the revision from which the next watch starts.
 
-    A watch that ends without changes may have missed some, when the store was
-    about to drop its history: the next one starts where this one did.
+    A watch that ends without changes may have missed some if the store was about to
+    drop its history, so the next watch starts at the same revision.
     """
     return batch.revision if batch.changes else revision
--- a/src/piershore/platform/gateway.py
+++ b/src/piershore/platform/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway with the platform's adapters."""
+"""Runs the gateway with the platform's adapters."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run_gateway(metrics_port: int | None, policies: Policies) -> None:
-    """Run until SIGTERM; raise `InvalidSettingsError` for faulty settings."""
+    """Run until SIGTERM; raise `InvalidSettingsError` if the settings are invalid."""
     settings = load_box_settings()
     daemon = IngressDaemon(
         settings,
--- a/src/piershore/platform/headers.py
+++ b/src/piershore/platform/headers.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers as callers and endpoints of the platform use them."""
+"""Headers by which callers and endpoints of the platform exchange metadata."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 ACCOUNT = b"tenant"
 EXPECTED_ENDPOINT = b"expected-instance"
 NOT_RUN = b"not-executed"
-# A signature of the endpoint under its answer; only sound answers carry it.
+# The endpoint's signature of its answer; only valid answers have it.
 SIGNATURE = b"response-seal"
 MODEL = b"model"
-# Tokens of the prompt and the most that may be generated.
+# Tokens of the prompt, and the maximum number of generated tokens.
 TOKEN_COUNTS = b"token-usage"
 PROMPT_PARTS = b"prompt-prefix"
 OUTPUT_GUESS = b"length-hint"
@@ -41,7 +41,7 @@
 LEAVES = b"server-leaving"
 RATE_LIMIT = b"server-limit"
 DENIALS = frozenset({b"", b"0", b"false"})
-"""Values with which a header says that something is not so."""
+"""Values of a header that stand for false."""
 
 OF_THE_SYSTEM = frozenset(
     {
@@ -60,22 +60,22 @@
         b"content-length",
     }
 )
-"""What a caller sends of these doesn't reach the endpoint."""
+"""Headers that are not forwarded from callers; the gateway sets some of them."""
 
 KEPT_IN_ANY_CASE = frozenset(
     {REQUEST_ID, MODEL, TOKEN_COUNTS, PROMPT_PARTS, b"host", b"content-type"}
 )
-"""Headers that a caller can't declare to be of its connection only."""
+"""Headers that are forwarded even if a caller lists them in `Connection`."""
 
 MISDIRECTED = 421
 MOST_MILLISECONDS = 10**9
 
 
 class PlatformDialect(RequestDialect):
-    """Headers of the platform."""
+    """Encodes and decodes the platform's headers."""
 
     def read_request(self, head: RequestHead) -> CallerRequest:
-        """Decode a caller's request."""
+        """Decode a caller's request; raise `BadRequestError` if it is malformed."""
         return CallerRequest(
             head=head,
             identity=(head.header(REQUEST_ID) or b"").decode("latin-1"),
@@ -91,7 +91,7 @@
         endpoint: Endpoint,
         order: ForwardingOptions,
     ) -> RequestHead:
-        """Return the head that the endpoint gets."""
+        """Return the head of the request to the endpoint."""
         headers = [
             (name, value)
             for name, value in end_to_end(request.head.headers, KEPT_IN_ANY_CASE)
@@ -117,7 +117,7 @@
         return RequestHead(request.head.method, request.head.target, tuple(headers))
 
     def is_answer_to(self, request: CallerRequest, head: ResponseHead) -> bool:
-        """Tell whether the answer names this request."""
+        """Return whether the answer has the id of this request."""
         value = head.header(REQUEST_ID)
         return value is not None and value.decode("latin-1") == request.identity
 
@@ -134,9 +134,9 @@
         )
 
     def read_notice(self, head: ResponseHead) -> EndpointNotice:
-        """Decode what the endpoint asks beside its answer."""
+        """Decode the notice of an endpoint that accompanies its answer."""
         if head.status == MISDIRECTED:
-            # Another endpoint has the address now, and speaks of itself.
+            # Another endpoint has this address now: the notice would be about it.
             return NO_NOTICE
         leaves = head.header(LEAVES)
         is_leaving = leaves is not None and leaves.strip().lower() not in DENIALS
@@ -151,14 +151,14 @@
         return EndpointNotice(is_leaving, rest, rate, unreadable)
 
     def forwarded_answer_headers(self, head: ResponseHead) -> Headers:
-        """Return the endpoint's headers that the caller gets."""
+        """Return those of the endpoint's headers that are forwarded to the caller."""
         kept = end_to_end(head.headers, frozenset())
         return tuple(item for item in kept if item[0] != b"content-length")
 
     def gateway_answer_headers(
         self, request: CallerRequest | None, retry_after: float | None
     ) -> Headers:
-        """Return the headers of an answer that the gateway gives itself."""
+        """Return the headers of an answer that the gateway generates itself."""
         headers = [(b"content-type", b"application/json")]
         if request is not None and request.identity:
             headers.append((REQUEST_ID, request.identity.encode("latin-1")))
--- a/src/piershore/platform/http_platform_store.py
+++ b/src/piershore/platform/http_platform_store.py
@@ -1,4 +1,4 @@
-"""The product's own objects in the platform's object API."""
+"""Stores piershore's own objects by the platform's object API."""
 
 from __future__ import annotations
 
@@ -28,29 +28,32 @@
 )
 
 WATCH_SECONDS = 1.0
-"""A watch tells at least so often that nothing has changed."""
+"""Maximum duration of one watch call; it returns then even without changes."""
 CONFIGURATION_KIND = "piershore-configuration"
-"""One kind for all objects of the configuration: one list and one watch show them
-all, in the order of their changes. Their own kind is a part of the name."""
+"""A single kind for all configuration objects, so that one list and one watch return
+them all in the order of their changes. Their own kind is part of the name."""
 SLOT_KIND = "piershore-slots"
-"""Slot tables change with each lease; only agents read them, one by one."""
+"""Kind of slot tables. They change with each lease, and only agents read them, each by
+its name, so they are not part of the list and watch of the configuration."""
 BOX_KIND = "boxes"
 KIND_SEPARATOR = ":"
 WRITE_IDS_KEPT = 8
-"""Writes that an object remembers, to settle one whose answer was lost late."""
+"""Number of write ids kept in an object. By them a writer whose answer was lost finds
+out whether its write took effect, even after later writes."""
 KEPT_CLIENTS = 8
 
 Result = TypeVar("Result")
 
 
 class HttpPlatformStore(PlatformStore, BoxList):
-    """Reads, conditional writes, watches and the box list of one platform.
-
-    An object's contents are the field `value` of its spec; `write_ids` beside it
-    names its last writes, and `era` the store's era when it was written. A version is
-    that era and the object's revision: by the era in which it is read, what the store
-    has from its copy would seem newer than what was accepted after that copy. What was
-    lost and is written again keeps the version that it was accepted as, in `version`.
+    """Accesses the objects and the box list of one platform over HTTP.
+
+    The spec of an object has its content in `value`, the ids of its last writes in
+    `write_ids`, and the store's era at the time of the write in `era`. A version
+    combines that era with the object's revision. With the era at the time of a read
+    instead, the objects of a restored copy would look newer than those accepted after
+    the copy was made. An object that was lost and is written again keeps the version
+    under which it was accepted, in `version`.
     """
 
     def __init__(self, base_url: str) -> None:
@@ -61,7 +64,7 @@
 
     @property
     def era(self) -> int:
-        """The era that the store's answers have told so far."""
+        """The store's era according to its answers so far."""
         return self._era.value
 
     async def close(self) -> None:
@@ -83,7 +86,11 @@
     async def put(
         self, name: ObjectName, value: bytes | None, version: int, write_id: str
     ) -> StoredObject:
-        """Write if the object's version is still `version`."""
+        """Write if the object's version is still `version`.
+
+        Raise `StaleVersionError` if it isn't, `WriteUncertainError` if the answer is
+        lost.
+        """
         try:
             return await self._with_client(
                 lambda c: self._write(c, name, value, StoreRevision(version), write_id)
@@ -92,7 +99,7 @@
             raise self._stale(name, error.current) from error
 
     async def restore(self, lost: StoredObject, version: int, write_id: str) -> None:
-        """Write a lost object again, as the version that it has."""
+        """Write a lost object again, with the version under which it was accepted."""
         spec = {**_spec_of(lost.value, (write_id,)), "version": lost.version}
         try:
             await self._with_client(
@@ -102,7 +109,7 @@
             raise self._stale(lost.name, error.current) from error
 
     async def watch(self, revision: int) -> AsyncIterator[StoredObject | int]:
-        """Yield changes after `revision`, and the revision when all is told."""
+        """Yield changes after `revision`, and the revision reached after each batch."""
         reached = StoreRevision(revision)
         while True:
             batch = await self._with_client(
@@ -154,11 +161,12 @@
     async def _number_of(
         self, client: ObjectClient, name: ObjectName, version: StoreRevision
     ) -> int:
-        """Return the store's number of a version.
+        """Return the store's revision number of a version.
 
-        Raise `StaleVersionError` if it has another one. The store compares numbers
-        alone: that of an earlier era may have been given out again, and what was lost
-        and written again has a new one.
+        The store compares only numbers. The number of an earlier era may have been
+        issued again, and an object that was lost and written again has a new one, so
+        such a version is compared with the stored object. Raise `StaleVersionError` if
+        they differ.
         """
         if version.era >= self.era:
             return version.number
@@ -179,7 +187,7 @@
         decoded = self._decode(change.object)
         if not change.is_gone:
             return decoded
-        # Above all versions of this object, below those of a later one.
+        # A tombstone: newer than this object, older than a later one of its name.
         return StoredObject(decoded.name, decoded.version + 1, None)
 
     def _decode(self, item: PlatformObject) -> StoredObject:
@@ -213,7 +221,7 @@
 
 
 def _place(name: ObjectName) -> tuple[str, str]:
-    """Return the platform's kind and name of an object."""
+    """Return the kind and the name under which the platform stores an object."""
     kind = SLOT_KIND if name.kind is ObjectKind.SLOTS else CONFIGURATION_KIND
     return kind, f"{name.kind}{KIND_SEPARATOR}{name.name}"
 
@@ -223,7 +231,7 @@
 
 
 def _version_of(item: PlatformObject) -> StoreRevision:
-    """Return the version that an object was accepted as."""
+    """Return the version under which an object was accepted."""
     told = item.spec.get("version")
     if type(told) is int and told > 0:
         return StoreRevision(told)
--- a/src/piershore/platform/object_client.py
+++ b/src/piershore/platform/object_client.py
@@ -1,4 +1,4 @@
-"""The platform's object API: reads, conditional writes and watches."""
+"""Client of the platform's object API: reads, conditional writes and watches."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
 
 ERA = b"store-era"
 CONNECT_SECONDS = 0.6
-"""The store answers in a few ms; a lost first packet is sent again after 1 s."""
+"""The store accepts connections within a few ms. A lost first packet is sent again only
+after 1 s."""
 CALL_SECONDS = 1.5
-"""Longest wait until an answer starts; a slow store takes 60 times its usual 4 ms."""
+"""Maximum wait until an answer starts. A slow store takes 60 times its usual 4 ms."""
 WATCH_SLACK_SECONDS = 0.8
-"""How much later than asked for a waiting watch may start to answer."""
+"""Maximum delay of a watch's answer beyond the requested wait."""
 STALLED_SECONDS = 1.5
-"""An answer is given up when it stands still for so long, however long it takes in all:
-with a limit for the whole, an object of 0.8 MB never came over a link of 5 Mbit/s."""
+"""An answer is abandoned if no bytes arrive for this long. Its total time is not
+limited: with such a limit, an object of 0.8 MB never arrived over a 5 Mbit/s link."""
 ANSWERING_STATUSES = frozenset(
     {
         HTTPStatus.OK,
@@ -43,14 +44,14 @@
         HTTPStatus.CONFLICT,
     }
 )
-"""Any other status says that nothing was done."""
+"""Statuses with which the API itself answers. Any other means that nothing was done."""
 
 
 @dataclass(frozen=True)
 class PlatformObject:
-    """An object: its name, what was put there, and its last change's revision.
+    """An object of the store and the revision of its last change.
 
-    `spec` is any JSON value: anybody may write objects.
+    `spec` may be any JSON value, since any process may write objects.
     """
 
     name: str
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True)
 class ObjectList:
-    """All objects of a kind and the store's revision that they show."""
+    """All objects of a kind as of a revision of the store."""
 
     objects: tuple[PlatformObject, ...]
     revision: StoreRevision
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True)
 class ObjectChange:
-    """An object that changed, or is gone."""
+    """An object that was written or removed."""
 
     object: PlatformObject
     is_gone: bool
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True)
 class ObjectChanges:
-    """Changes in their order, complete up to `revision`."""
+    """Changes in the order of their revisions, complete up to `revision`."""
 
     changes: tuple[ObjectChange, ...]
     revision: StoreRevision
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True)
 class ObjectAnswer:
-    """The store's answer to a call, and the store's era when it was given."""
+    """The store's answer to a call, with the era of the store."""
 
     status: int
     body: Mapping
@@ -101,9 +102,9 @@
 
 
 class ObjectClient:
-    """Keeps one connection to the store; one call at a time.
+    """Makes one call at a time over one persistent connection to the store.
 
-    Clients of one store may share what they have heard of its `era`.
+    Clients of one store may share its `era`, which each answer updates.
     """
 
     def __init__(self, address: Address, era: StoreEra | None = None) -> None:
@@ -115,19 +116,19 @@
 
     @property
     def heard_at(self) -> float:
-        """When something of an answer came last, by trio's clock."""
+        """When bytes of an answer were last received, by trio's clock."""
         return self._heard_at
 
     @property
     def era(self) -> StoreEra:
-        """The store's era."""
+        """The store's era according to its answers so far."""
         return self._era
 
     async def list(self, kind: str) -> ObjectList:
         """Read all objects of a kind, page by page.
 
-        Raise `PlatformUnavailableError` when the store doesn't answer, and
-        `WatchGapError` when it came back from an older copy between two pages.
+        Raise `PlatformUnavailableError` if the store doesn't answer, and
+        `WatchGapError` if it was restored from an older copy between two pages.
         """
         objects: list[PlatformObject] = []
         after = ""
@@ -137,7 +138,9 @@
             query = f"?since_revision={start}" if after else ""
             answer = await self._get(f"/objects/{kind}{query}", CALL_SECONDS)
             if era is not None and era != answer.era:
-                raise WatchGapError("the store came back while it was read")
+                raise WatchGapError(
+                    "the store was restored from an older copy during the read"
+                )
             era = answer.era
             page = list(_objects(_entries(answer.body, "items")))
             objects.extend(page)
@@ -150,29 +153,30 @@
     ) -> ObjectChanges:
         """Wait for changes after `revision`, at most `wait` seconds.
 
-        Raise `WatchGapError` when that history is gone. The store can't tell that it
-        has given the number out a second time, since it came back from an older copy:
-        the watch would go on and miss what lies between.
+        Raise `WatchGapError` if the store no longer has that history, or has been
+        restored from an older copy since. A restored store may issue the revision's
+        number again without detecting it; the watch would continue from there and miss
+        the changes in between.
         """
         query = f"?watch={revision.number}&wait_ms={int(wait * 1_000)}"
         path = f"/objects/{kind}{query}"
         answer = await self._get(path, wait + WATCH_SLACK_SECONDS)
         if answer.era != revision.era:
-            raise WatchGapError("the store has come back from an older copy")
+            raise WatchGapError("the store was restored from an older copy")
         changes = tuple(_changes(_entries(answer.body, "events")))
         return ObjectChanges(changes, _reached(answer))
 
     async def get(self, kind: str, name: str) -> PlatformObject | None:
-        """Read one object; None if there is none."""
+        """Read one object; return None if it doesn't exist."""
         call = ObjectCall(b"GET", f"/objects/{kind}/{quote(name)}")
         answer = await self._call(call, CALL_SECONDS)
         return None if answer.status == HTTPStatus.NOT_FOUND else _object(answer.body)
 
     async def create(self, kind: str, name: str, spec: Mapping) -> PlatformObject:
-        """Make an object; raise `ObjectConflictError` if it is there.
+        """Create an object; raise `ObjectConflictError` if it exists.
 
-        This and the other writes raise `WriteUncertainError` when the answer was
-        lost, and `PlatformUnavailableError` when nothing was done.
+        Like the other writes, raise `WriteUncertainError` if the answer was lost, and
+        `PlatformUnavailableError` if nothing was written.
         """
         body = {"metadata": {"name": name}, "spec": spec}
         return await self._write(ObjectCall(b"POST", f"/objects/{kind}", body))
@@ -180,18 +184,21 @@
     async def replace(
         self, kind: str, name: str, spec: Mapping, revision: int
     ) -> PlatformObject:
-        """Replace an object that is at `revision`."""
+        """Replace an object; raise `ObjectConflictError` if it isn't at `revision`."""
         body = {"metadata": {"name": name, "revision": revision}, "spec": spec}
         path = f"/objects/{kind}/{quote(name)}"
         return await self._write(ObjectCall(b"PUT", path, body))
 
     async def remove(self, kind: str, name: str, revision: int) -> PlatformObject:
-        """Remove an object that is at `revision`; return it as it was."""
+        """Remove an object and return it as it was.
+
+        Raise `ObjectConflictError` if it isn't at `revision`.
+        """
         path = f"/objects/{kind}/{quote(name)}?revision={revision}"
         return await self._write(ObjectCall(b"DELETE", path))
 
     async def close(self) -> None:
-        """Close the connection; it isn't used again, also if this is cancelled."""
+        """Close the connection; it isn't reused even if the closing is cancelled."""
         connection, self._connection = self._connection, None
         if connection is not None:
             await connection.close()
@@ -249,7 +256,7 @@
         answer = await connection.read_head()
         self._heard_at = trio.current_time()
         if not self._era.observe(_text(answer.header(ERA)), self._heard_at):
-            reason = "the store answers from before its return"
+            reason = "the answer is from before the store was restored"
             if call.method == b"GET":
                 raise PlatformUnavailableError(reason)
             raise WriteUncertainError(reason)
@@ -277,14 +284,14 @@
 
 
 def _answer(status: int, data: bytes, era: int) -> ObjectAnswer:
-    """Decode an answer; raise the error that its status stands for."""
+    """Decode an answer, or raise the error that corresponds to its status."""
     if status == HTTPStatus.GONE:
         raise WatchGapError("the store no longer has these changes")
     if status not in ANSWERING_STATUSES:
         raise PlatformUnavailableError(f"the store answered {status}")
     body = _decode(data) if data else {}
     if not isinstance(body, Mapping):
-        raise PlatformUnavailableError("the store's answer is no object")
+        raise PlatformUnavailableError("the store's answer is not an object")
     return ObjectAnswer(status, body, era)
 
 
@@ -293,9 +300,10 @@
 
 
 def _decode(data: bytes) -> Any:
-    """Decode JSON; bytes in it that are no text spoil just the text where they stand.
+    """Decode JSON, replacing bytes that are not valid UTF-8.
 
-    A list of all endpoints must not be lost for one entry that somebody else wrote.
+    Only the string with such bytes is affected: one invalid entry, which any process
+    may write, must not make the whole list of endpoints unreadable.
     """
     try:
         return orjson.loads(data)
@@ -303,7 +311,7 @@
         try:
             return json.loads(data.decode("utf-8", "replace"))
         except (ValueError, RecursionError) as error:
-            raise PlatformUnavailableError("the store's answer is no JSON") from error
+            raise PlatformUnavailableError("the store's answer is not JSON") from error
 
 
 def _entries(body: Mapping, field: str) -> list:
@@ -320,14 +328,14 @@
 
 
 def _object(item: Any) -> PlatformObject:
-    """Return an object; raise `PlatformUnavailableError` if it has no name."""
+    """Decode an object; raise `PlatformUnavailableError` if it has no name."""
     for found in _objects((item,)):
         return found
-    raise PlatformUnavailableError("the store's answer names no object")
+    raise PlatformUnavailableError("the store's answer contains no named object")
 
 
 def _objects(items: Iterable[Any]) -> Iterator[PlatformObject]:
-    """Yield the objects that have a name; nothing else can be said of the others."""
+    """Decode objects, ignoring those without a name, which can't be identified."""
     for item in items:
         metadata = item.get("metadata") if isinstance(item, Mapping) else None
         name = metadata.get("name") if isinstance(metadata, Mapping) else None
--- a/src/piershore/platform/routing_codec.py
+++ b/src/piershore/platform/routing_codec.py
@@ -1,4 +1,4 @@
-"""The operator's configuration object, decoded into the product's types."""
+"""Decodes the operators' configuration object."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def decode_piece(fields: Mapping) -> PartialConfiguration:
-    """Decode some fields; raise `InvalidObjectError` if one can't be read."""
+    """Decode some of the fields; raise `InvalidObjectError` if one is invalid."""
     try:
         version = fields.get("version")
         limits = fields.get("limits")
@@ -48,7 +48,7 @@
 
 
 def join_decoded(pieces: Iterable[PartialConfiguration]) -> ServingConfiguration:
-    """Join pieces; raise `InvalidObjectError` if they are no whole configuration."""
+    """Merge configurations; raise `InvalidObjectError` if the result is incomplete."""
     try:
         return merge_partial_configurations(pieces)
     except ValueError as error:
@@ -62,7 +62,7 @@
 
 
 def _unreadable(error: Exception) -> InvalidObjectError:
-    return InvalidObjectError(f"the configuration can't be read: {error!r}")
+    return InvalidObjectError(f"the configuration is invalid: {error!r}")
 
 
 def _route(item: Mapping) -> Route:
--- a/src/piershore/platform/settings_lines.py
+++ b/src/piershore/platform/settings_lines.py
@@ -1,7 +1,7 @@
-"""The lines of the platform's settings file: `a.b=value`.
+"""Parses the lines of the platform's settings file: `a.b=value`.
 
-This module imports almost nothing, so that a process that starts can read its
-address before anything else.
+This module has few imports, so that a starting process can read its address and listen
+on it before it imports the rest.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def read_fields(text: str) -> Iterator[tuple[str, str]]:
-    """Yield each field's name and value; other lines are passed over."""
+    """Yield the name and value of each field, ignoring lines without `=`."""
     for line in text.splitlines():
         name, separator, value = line.partition("=")
         if separator:
--- a/src/piershore/platform/settled_write.py
+++ b/src/piershore/platform/settled_write.py
@@ -1,4 +1,4 @@
-"""Conditional writes whose lost answers are settled."""
+"""Conditional writes whose outcome is determined even if answers are lost."""
 
 from __future__ import annotations
 
@@ -24,15 +24,20 @@
     version: int,
     write_id: str,
 ) -> StoredObject:
-    """Write, and learn for certain whether it took effect.
+    """Write, and find out whether the write took effect.
 
-    A lost answer is settled by the same conditional write again, never by a
-    read, since reads may be stale: it conflicts if the first took effect, and
-    the conflict names the last writes.
+    After a lost answer the same conditional write is repeated. A read couldn't tell,
+    since reads may be stale. The repeated write conflicts if the first one took effect,
+    and the conflict contains the ids of the last writes.
 
-    A write that says an earlier era than the store's is made again: the store came
-    back meanwhile, and by its version it would be older than what came before it. A
-    conflict proves nothing then: what took effect before may be in force elsewhere.
+    The write is also made again if its result has an earlier era than the store: the
+    store was restored from an older copy meanwhile, and the version would be older than
+    those accepted before the restore. A conflict proves nothing in that case, because
+    an attempt that took effect before the restore may be in force elsewhere.
+
+    Raise `StaleVersionError` if the object has changed, `WriteUncertainError` if
+    that stays unknown, and `PlatformUnavailableError` if the store is unavailable for
+    the first attempt.
     """
     era = store.era
     for attempt in range(ATTEMPTS):
@@ -44,7 +49,9 @@
             )
         except StaleVersionError as error:
             if attempt and store.era > era:
-                raise WriteUncertainError("the store has come back since") from error
+                raise WriteUncertainError(
+                    "the store was restored from an older copy meanwhile"
+                ) from error
             raise
         if written is None:
             continue
@@ -63,7 +70,7 @@
     *,
     is_again: bool,
 ) -> StoredObject | None:
-    """Write once; return the object if it holds the write, None if that isn't known."""
+    """Write once; return the object that contains the write, or None if unknown."""
     try:
         return await store.put(name, value, version, write_id)
     except WriteUncertainError:
@@ -77,6 +84,6 @@
         if current is not None and write_id in current.write_ids:
             return current
         if value is None and current is None and is_again:
-            # The first removal took effect, and its answer was lost.
+            # An earlier attempt removed the object, and its answer was lost.
             return StoredObject(name, version + 1, None, (write_id,))
         raise
