--- a/src/piershore/http1/__init__.py
+++ b/src/piershore/http1/__init__.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 over trio streams, with what a proxy must know of each exchange.
+"""HTTP/1.1 over trio streams, with the details of each exchange that a proxy needs.
 
-`h11` is the codec under both hypercorn and httpx; neither of those tells whether a
-request's bytes left, sees a caller leave while its answer is being made, or refuses
-bytes that follow a whole answer.
+`h11` is the codec of both hypercorn and httpx. Neither of them reports whether bytes of
+a request were sent, detects that a caller disconnects before its answer is ready, or
+rejects bytes that follow a complete answer.
 """
--- a/src/piershore/http1/client_connection.py
+++ b/src/piershore/http1/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint or to another process."""
+"""A client's connection to an endpoint or to another process."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 RECEIVE_BYTES = 65_536
 LARGEST_HEAD_BYTES = 65_536
 MOST_FOREIGN_ANSWERS = 4
-"""Answers of earlier requests that are passed over before an answer."""
+"""Maximum number of answers to earlier requests that are skipped."""
 
 PROBE_SECONDS = 1
-"""Idle time before a probe, and the wait for its answer: a connection that has gone
-silent for good breaks after 2 s, when new ones may long work again. A call that was to
-wait 4 s would otherwise wait 5.4 s; a lost probe costs one more connection."""
+"""Idle time before a TCP keepalive probe, and the wait for its answer. A dead
+connection breaks after 2 s, by which time new ones may long work again. Without probes
+a call that should wait for 4 s would wait for 5.4 s. A lost probe costs only one more
+connection."""
 UNANSWERED_PROBES = 1
 
 IsOwnAnswer = Callable[[ResponseHead], bool]
@@ -27,19 +28,20 @@
 
 
 def any_answer(head: ResponseHead) -> bool:
-    """Take the first answer that comes."""
+    """Accept the first answer that is received."""
     return True
 
 
 def _ignore(head: ResponseHead) -> None:
-    """Take no note of a head."""
+    """Do nothing with a head."""
 
 
 class ClientConnection:
-    """Sends a request at a time and reads its answer.
+    """Sends one request at a time and reads its answer.
 
-    `last_used` is the time of the last exchange's end, by trio's clock; `on_head` gets
-    the head of each answer that was taken.
+    `last_used` is when the last exchange ended, by trio's clock. `keep_alive` is how
+    many seconds the server says that it keeps an idle connection; None if it doesn't
+    say. `on_head` is called with the head of each accepted answer.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
@@ -56,10 +58,10 @@
     async def open(
         cls, host: str, port: int, timeout: float, *, is_probed: bool = False
     ) -> ClientConnection:
-        """Connect; raise `NotConnectedError` if that fails or takes too long.
+        """Connect; raise `NotConnectedError` if that fails or takes over `timeout` s.
 
-        An idle connection that `is_probed` breaks when its peer can't be reached for
-        `PROBE_SECONDS` and some more.
+        With `is_probed`, TCP keepalive breaks an idle connection whose peer has become
+        unreachable (`PROBE_SECONDS`).
         """
         try:
             with trio.fail_after(timeout):
@@ -78,11 +80,14 @@
         return cls(trio.SocketStream(connection))
 
     def is_clean(self) -> bool:
-        """Whether nothing came since the last answer, the peer's close included."""
+        """Return whether nothing, not even a close, followed the last answer."""
         return not self._has_trailing and not self._stream.socket.is_readable()
 
     async def closes_within(self, seconds: float) -> bool:
-        """Wait for the peer's close of a connection on which nothing was sent."""
+        """Return whether the peer closes the connection within some seconds.
+
+        Nothing may have been sent on the connection.
+        """
         with trio.move_on_after(seconds):
             try:
                 return not await self._receive()
@@ -91,7 +96,7 @@
         return False
 
     async def send(self, head: RequestHead, body: bytes) -> None:
-        """Send a whole request; raise `ExchangeBrokenError` if that fails."""
+        """Send a complete request; raise `ExchangeBrokenError` if that fails."""
         self._head, self._body = head, body
         try:
             await self._stream.send_all(self._encode())
@@ -99,19 +104,24 @@
             raise ExchangeBrokenError("the connection broke while sending") from error
 
     async def read_head(self, is_own: IsOwnAnswer = any_answer) -> ResponseHead:
-        """Read the head of the answer, passing over those of earlier requests."""
+        """Read the head of the answer for which `is_own` is true, skipping others.
+
+        The others are answers to earlier requests. Raise `ExchangeBrokenError` if the
+        connection breaks or only such answers are received.
+        """
         for _ in range(MOST_FOREIGN_ANSWERS):
             head = await self._read_any_head()
             if is_own(head):
                 self.on_head(head)
                 return head
             await self._skip_answer()
-        raise ExchangeBrokenError("only answers to other requests came")
+        raise ExchangeBrokenError("only answers to other requests were received")
 
     async def read_chunks(self, patience: float = inf) -> AsyncIterator[bytes]:
-        """Yield the parts of the body; end only if it is whole.
+        """Yield the chunks of the body; return only once it is complete.
 
-        Raise `ExchangeBrokenError` if nothing comes for `patience` seconds.
+        Raise `ExchangeBrokenError` if the body is cut short, or nothing is received
+        for `patience` seconds.
         """
         while True:
             event = await self._next_event_within(patience)
@@ -122,11 +132,11 @@
             yield bytes(event.data)
 
     async def read_body(self, patience: float = inf) -> bytes:
-        """Read the whole body, with `patience` as for its parts."""
+        """Read the whole body, with the same `patience` as `read_chunks`."""
         return b"".join([part async for part in self.read_chunks(patience)])
 
     def end_exchange(self) -> bool:
-        """Get ready for another request; False if the connection must close."""
+        """Prepare for another request; return False if the connection must close."""
         trailing, closed = self._connection.trailing_data
         self._has_trailing = bool(trailing) or closed
         if self._has_trailing or self._connection.states != {
@@ -139,7 +149,7 @@
         return True
 
     async def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         await trio.aclose_forcefully(self._stream)
 
     @staticmethod
@@ -159,7 +169,7 @@
         while True:
             event = await self._next_event()
             if isinstance(event, h11.ConnectionClosed):
-                raise ExchangeBrokenError("the connection was closed unanswered")
+                raise ExchangeBrokenError("the connection was closed without an answer")
             if isinstance(event, h11.Response):
                 break
         headers = tuple((bytes(k), bytes(v)) for k, v in event.headers)
@@ -177,7 +187,7 @@
                 self.keep_alive = float(seconds)
 
     async def _skip_answer(self) -> None:
-        """Read an answer to an earlier request; ours is still to come."""
+        """Read the rest of an answer to an earlier request; the own one follows."""
         await self.read_body()
         trailing, closed = self._connection.trailing_data
         self._connection = self._codec()
@@ -212,7 +222,7 @@
 
 
 def _probe(connection: trio.socket.SocketType) -> None:
-    """Let the kernel ask an idle peer whether it is there."""
+    """Let the kernel probe the peer of an idle connection (TCP keepalive)."""
     connection.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_KEEPALIVE, 1)
     for option, value in (
         (trio.socket.TCP_KEEPIDLE, PROBE_SECONDS),
--- a/src/piershore/http1/connection_pool.py
+++ b/src/piershore/http1/connection_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to endpoints, by address."""
+"""A pool of connections to endpoints."""
 
 from __future__ import annotations
 
@@ -14,30 +14,32 @@
 from piershore.http1.message import ResponseHead
 
 CONNECT_SECONDS = 0.35
-"""A connection in one region comes up in a few ms; a lost first packet is sent
-again only after a second, and by then another endpoint is the better choice."""
+"""Connecting within a region takes a few ms. A lost first packet is sent again only
+after a second; by then it is better to use another endpoint."""
 CLOSED_AT_ONCE_SECONDS = 0.03
-"""Who has too many connections, or leads nowhere, closes a new one within some ms."""
+"""An endpoint with too many connections, or a balancer without a backend, closes a new
+connection within some ms."""
 LONGEST_IDLE_SECONDS = 4.0
-"""Longest rest of a kept connection; endpoints may forget one sooner."""
+"""Maximum idle time of a pooled connection; endpoints may drop one earlier."""
 KEEP_ALIVE_MARGIN_SECONDS = 1.0
-"""Closed this long before the endpoint would: its times are whole seconds."""
+"""How long before the endpoint's own idle timeout a connection is closed. Endpoints
+advertise the timeout in whole seconds."""
 MOST_KEPT = 8
-"""Kept connections to one endpoint; more would be idle at the usual load."""
+"""Maximum number of idle connections to one endpoint; the usual load needs no more."""
 
 
 OnEndpointHead = Callable[[Endpoint, ResponseHead], None]
 
 
 def _ignore(endpoint: Endpoint, head: ResponseHead) -> None:
-    """Take no note of an endpoint's head."""
+    """Do nothing with an endpoint's head."""
 
 
 class ConnectionPool:
-    """Hands out one connection at a time and takes back those that are sound.
+    """Hands out connections for one exchange each and keeps the reusable ones.
 
-    All that endpoints answer comes over these connections: requests, questions and
-    moves alike.
+    All answers of endpoints arrive over these connections, whether to requests, probes
+    or moves.
     """
 
     def __init__(self) -> None:
@@ -46,11 +48,14 @@
         self._retired: list[ClientConnection] = []
 
     def listen(self, on_head: OnEndpointHead) -> None:
-        """Let `on_head` get the head of each answer with the endpoint that gave it."""
+        """Call `on_head` with the head of each answer and the endpoint that sent it."""
         self._on_head = on_head
 
     async def take(self, endpoint: Endpoint, longest_idle: float) -> ClientConnection:
-        """Return a kept connection that rested at most so long, or a new one."""
+        """Return a pooled connection idle for at most `longest_idle` s, or a new one.
+
+        Raise `NotConnectedError` if a new one can't be opened.
+        """
         connection = await self._take(endpoint.address, longest_idle)
         connection.on_head = partial(self._on_head, endpoint)
         return connection
@@ -71,9 +76,9 @@
     async def borrow(
         self, endpoint: Endpoint, longest_idle: float
     ) -> AsyncIterator[ClientConnection]:
-        """Lend a connection for one exchange; it is kept if that ends well.
+        """Provide a connection for one exchange, and keep it if that succeeds.
 
-        Raise `NotConnectedError` if there is none.
+        Raise `NotConnectedError` if a new connection can't be opened.
         """
         connection = await self.take(endpoint, longest_idle)
         is_done = False
@@ -85,7 +90,7 @@
                 await self.give_back(endpoint.address, connection, reusable=is_done)
 
     async def can_connect(self, address: Address) -> bool:
-        """Tell whether a new connection comes up, and close it."""
+        """Return whether a new connection can be opened; close it again."""
         try:
             connection = await self._open(address)
         except NotConnectedError:
@@ -94,10 +99,11 @@
         return True
 
     async def is_there(self, address: Address) -> bool | None:
-        """Tell whether anybody serves at an address; None if that isn't known.
+        """Return whether an endpoint listens at an address; None if unknown.
 
-        Who refuses a connection isn't there. One that is closed at once tells nothing:
-        its endpoint may have too many, or a balancer before it has lost it.
+        A refused connection means that none does. A connection that is closed
+        immediately proves nothing: the endpoint may have too many connections, or a
+        load balancer in front of it may have lost it.
         """
         try:
             connection = await self._open(address)
@@ -112,7 +118,7 @@
     async def give_back(
         self, address: Address, connection: ClientConnection, *, reusable: bool
     ) -> None:
-        """Keep a connection for later if it may be used again."""
+        """Keep a connection if it is `reusable`, else close it."""
         kept = self._kept.setdefault(address, [])
         if reusable and len(kept) < MOST_KEPT and connection.end_exchange():
             kept.append(connection)
@@ -120,19 +126,19 @@
         await connection.close()
 
     async def drop(self, address: Address) -> None:
-        """Close the kept connections to an endpoint that leaves."""
+        """Close the pooled connections to an address."""
         for connection in self._kept.pop(address, []):
             await connection.close()
 
     def retire(self, address: Address) -> None:
-        """Hand out none of the kept connections; the next sweep closes them."""
+        """Stop using the pooled connections to an address; `close_idle` closes them."""
         self._retired.extend(self._kept.pop(address, ()))
 
     async def close_idle(self) -> None:
-        """Close the connections that rested too long, and those that were retired."""
+        """Close the connections that were idle for too long or are retired."""
         now = trio.current_time()
         idle, self._retired = self._retired, []
-        # All are taken out before the first wait: none may be handed out meanwhile.
+        # Remove all of them before the first await, so that none is handed out.
         for address, kept in list(self._kept.items()):
             idle.extend(c for c in kept if not self._is_usable(c, now))
             kept[:] = [c for c in kept if c not in idle]
--- a/src/piershore/http1/exceptions.py
+++ b/src/piershore/http1/exceptions.py
@@ -8,7 +8,7 @@
 
 
 class BadRequestError(PiershoreError):
-    """What the caller sent can't be taken as a request."""
+    """The caller sent a malformed request, or exceeded a limit."""
 
     code = "malformed_request"
 
@@ -19,9 +19,9 @@
 
 
 class NotConnectedError(PiershoreError):
-    """No connection came up, so nothing was sent.
+    """No connection could be opened, so nothing was sent.
 
-    `timed_out` when the other side said nothing, not even that it refuses.
+    `timed_out` is true if the peer didn't respond at all, not even with a refusal.
     """
 
     code = "not_connected"
@@ -32,6 +32,6 @@
 
 
 class ExchangeBrokenError(PiershoreError):
-    """The exchange broke after at least a part of the request was sent."""
+    """The exchange failed after at least part of the request may have been sent."""
 
     code = "exchange_broken"
--- a/src/piershore/http1/message.py
+++ b/src/piershore/http1/message.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 Headers = tuple[tuple[bytes, bytes], ...]
-"""Names in lower case and values, in their order."""
+"""Pairs of a name in lower case and a value, in order."""
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -21,7 +21,7 @@
         b"upgrade",
     }
 )
-"""Headers that concern one connection only (RFC 9110, 7.6.1)."""
+"""Headers that apply to a single connection (RFC 9110, 7.6.1)."""
 
 
 @dataclass(frozen=True)
@@ -38,7 +38,7 @@
 
     @property
     def host(self) -> str:
-        """The host that is asked for, without a port, in lower case."""
+        """The requested host in lower case, without the port."""
         value = (self.header(b"host") or b"").decode("latin-1").strip().lower()
         return value if value.endswith("]") else value.partition(":")[0]
 
@@ -70,10 +70,10 @@
 
 
 def end_to_end(headers: Headers, kept: frozenset[bytes]) -> Iterator[tuple]:
-    """Yield the headers that travel on.
+    """Yield the headers that are forwarded.
 
-    A sender may name more headers of the connection in `Connection`, but none
-    of `kept`.
+    A sender can exclude further headers by listing them in `Connection`, but none of
+    `kept`.
     """
     named = set(CONNECTION_HEADERS)
     for key, value in headers:
--- a/src/piershore/http1/rate_limit.py
+++ b/src/piershore/http1/rate_limit.py
@@ -1,4 +1,4 @@
-"""Headers in which an answer names a rate of requests."""
+"""Parses headers by which an answer advertises a rate limit."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 from math import isfinite
 
 RATE_LIMIT = "ratelimit-limit"
-"""Header by which an endpoint of the product's own interface names its rate."""
+"""Header by which an endpoint with piershore's own interface advertises its limit."""
 
 
 def lowest_rate(values: Iterable[str]) -> float | None:
-    """Return the lowest of the rates that are given, or None if none can be read.
+    """Return the lowest of the given rates; None if none is valid.
 
-    Values may be lists. A rate is a decimal number of requests a second, 0 included.
+    A value may be a comma-separated list. A rate is a decimal number of requests per
+    second, and may be 0.
     """
     rates = (_rate(item) for value in values for item in value.split(","))
     return min((rate for rate in rates if rate is not None), default=None)
--- a/src/piershore/http1/retry_after.py
+++ b/src/piershore/http1/retry_after.py
@@ -1,4 +1,4 @@
-"""The header by which an answer says when to come back (RFC 9110, 10.2.3)."""
+"""Parses the header by which an answer says when to retry (RFC 9110, 10.2.3)."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def longest_rest(values: Iterable[str]) -> float | None:
-    """Return the longest of the times that are given, in seconds; None if none is.
+    """Return the longest of the requested backoffs, in seconds; None if there is none.
 
-    Fractions count; a date or other text, nothing and less ask for nothing.
+    Fractions are valid. Dates, other texts, zero and negative numbers are ignored.
     """
     seconds = (_seconds(value) for value in values)
     return max((s for s in seconds if s is not None), default=None)
--- a/src/piershore/http1/server_connection.py
+++ b/src/piershore/http1/server_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection."""
+"""The gateway's side of a connection from a caller."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 RECEIVE_BYTES = 16_384
 MOST_PIPELINED_BYTES = 65_536
-"""Bytes of later requests that are read while one is served."""
+"""Maximum bytes of later requests that are read while one is served."""
 HEADER_SLACK_BYTES = 1_024
-"""Room above the limit, so that a head of just the limit is still taken."""
+"""Added to the codec's limit, so that a head of exactly the limit is accepted."""
 
 FramedHeaders = list[tuple[bytes, bytes]]
 
 
 class ServerConnection:
-    """Reads requests and writes answers; one request at a time.
+    """Reads requests and writes answers, one request at a time.
 
-    `limits` is asked for at each request, since they may change.
+    `limits` is called for each request, since the limits may change.
     """
 
     def __init__(
@@ -40,13 +40,13 @@
 
     @property
     def response_started(self) -> bool:
-        """Whether any byte of the present answer was sent."""
+        """Whether sending the current answer has begun."""
         return self._response_started
 
     async def next_request(self) -> RequestHead | None:
-        """Read the next request's head; None when the caller is done.
+        """Read the next request's head; None if the caller closes or stays idle.
 
-        Raise `BadRequestError` when it can't be taken.
+        Raise `BadRequestError` if the head is malformed, too large or too slow.
         """
         if not await self.wait_for_bytes():
             return None
@@ -57,9 +57,9 @@
         )
 
     async def wait_for_bytes(self) -> bool:
-        """Wait for a request's first bytes; False when the caller is done or idle.
+        """Wait for a request's first bytes; False if the caller closes or stays idle.
 
-        Cancelled, it has taken no bytes.
+        If it is cancelled, no bytes have been consumed.
         """
         if self._has_bytes:
             return True
@@ -68,7 +68,7 @@
         return self._has_bytes
 
     async def read_body(self) -> bytes:
-        """Read the whole body; raise `BadRequestError` if it is too large."""
+        """Read the whole body; raise `BadRequestError` if too large or too slow."""
         limits = self._limits()
         parts: list[bytes] = []
         size = 0
@@ -92,7 +92,7 @@
         )
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         framed = [*headers, (b"content-length", str(len(body)).encode())]
         data = self._start(status, framed)
         if body and self._connection.our_state is h11.SEND_BODY:
@@ -101,7 +101,7 @@
         await self._stream.send_all(data)
 
     async def start_stream(self, status: int, headers: Headers, data: bytes) -> None:
-        """Send the head of an answer without a known length, and its first part."""
+        """Send the head and the first chunk of an answer whose length isn't known."""
         framed = [*headers, (b"transfer-encoding", b"chunked")]
         sent = self._start(status, framed)
         if data:
@@ -109,15 +109,18 @@
         await self._stream.send_all(sent)
 
     async def send_part(self, data: bytes) -> None:
-        """Send a part of an answer."""
+        """Send a chunk of an answer."""
         await self._send(h11.Data(data))
 
     async def finish(self) -> None:
-        """Mark the answer as whole."""
+        """Send the end of a chunked answer."""
         await self._send(h11.EndOfMessage())
 
     async def wait_closed(self) -> None:
-        """Return when the caller closes; bytes of later requests are kept."""
+        """Wait until the caller closes the connection; keep bytes of later requests.
+
+        After `MOST_PIPELINED_BYTES`, nothing more is read and a close goes undetected.
+        """
         while self._ahead_bytes < MOST_PIPELINED_BYTES:
             data = await self._receive()
             if not data:
@@ -127,7 +130,7 @@
         await trio.sleep_forever()
 
     def start_next(self) -> bool:
-        """Get ready for the next request; False if the connection must close."""
+        """Prepare for the next request; return False if the connection must close."""
         done = self._connection.our_state is h11.DONE
         if self.must_close or not done or self._connection.their_state is not h11.DONE:
             return False
@@ -138,18 +141,21 @@
         return True
 
     async def close(self) -> None:
-        """Close at once; what was sent is still delivered."""
+        """Close immediately; bytes that were sent are still delivered."""
         await trio.aclose_forcefully(self._stream)
 
     async def finish_close(self) -> None:
-        """Close for writing and read what still comes, so that nothing is reset."""
+        """Close for writing, then read until the caller closes.
+
+        Closing with unread bytes would reset the connection and lose the answer.
+        """
         with trio.move_on_after(0.5):
             try:
                 await self._stream.send_eof()
                 while await self._stream.receive_some(RECEIVE_BYTES):
                     continue
             except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
-                pass  # The caller closed first, which is what was waited for.
+                pass  # The caller has closed the connection already.
         await self.close()
 
     def _codec(self) -> h11.Connection:
