--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -1,4 +1,4 @@
-"""Contracts of the ports, run against the real adapters and the stand-ins."""
+"""Contract tests of the ports, with the real adapters and the stand-ins."""
 
 from __future__ import annotations
 
@@ -150,7 +150,7 @@
 
 
 async def come_back(store, world):
-    """Lose the second of two writes."""
+    """Restore the store from a copy that lacks the second of two writes."""
     first = await store.put(NAME, b"1", 0, "w1")
     world.deployment.keep_copy()
     second = await store.put(NAME, b"2", first.version, "w2")
@@ -194,25 +194,25 @@
 
 STORE_CASES = {
     "an object is created, read, changed and deleted": write_all,
-    "a write names an old version": write_stale,
-    "two writes name the same version": write_racing,
+    "a write expects an old version": write_stale,
+    "several writes expect the same version": write_racing,
     "the answer to a write is lost": write_lost,
-    "the write is settled after later writes": write_settled_late,
-    "the platform is out": out,
-    "a watch tells all changes in order": watch,
-    "a watch has a gap": watch_gap,
+    "a lost answer is settled after later writes": write_settled_late,
+    "the platform is unavailable": out,
+    "a watch returns all changes in order": watch,
+    "a watch has missed changes": watch_gap,
     "reads are stale": stale,
-    "the list of boxes lags": boxes,
-    "it has lost the version that a write names": write_lost_version,
-    "it has given the version that a write names out again": (
+    "the list of boxes is delayed": boxes,
+    "the store has lost the version that a write expects": write_lost_version,
+    "the store has reissued the version that a write expects": (
         write_version_given_out_again
     ),
-    "a watch goes on from a revision given out again": watch_over_return,
-    "it comes back just before a write": settle_over_return,
+    "a watch resumes from a reissued revision": watch_over_return,
+    "the store is restored from a copy just before a write": settle_over_return,
 }
 
 
-@then("the store keeps its contract when {case}")
+@then("the store adapter fulfils its contract when {case}")
 def check_store(context, case):
     world = context.world
 
@@ -302,14 +302,14 @@
     "a stream is resumed at an offset": resume,
     "a generation is cancelled": cancel,
     "a generation is unknown": unknown,
-    "the engine stands still": still,
-    "the engine is gone": gone,
+    "the engine stalls": still,
+    "the engine has crashed": gone,
     "the load is reported": load,
-    "cache events come late and with gaps": cache,
+    "cache events are delayed and have gaps": cache,
 }
 
 
-@then("the engine keeps its contract when {case}")
+@then("the engine adapter fulfils its contract when {case}")
 def check_engine(context, case):
     world = context.world
 
@@ -352,12 +352,12 @@
 
 SERVICE_CASES = {
     "a call is answered": call,
-    "the service is gone": service_gone,
-    "the service dies midway": service_dies,
+    "the service has crashed": service_gone,
+    "the service crashes during a call": service_dies,
 }
 
 
-@then("the service keeps its contract when {case}")
+@then("the service adapter fulfils its contract when {case}")
 def check_service(context, case):
     world = context.world
 
