--- a/src/piershore/telemetry/__init__.py
+++ b/src/piershore/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics and logs."""
+"""Metrics, logs and their analysis."""
--- a/src/piershore/telemetry/belief_review.py
+++ b/src/piershore/telemetry/belief_review.py
@@ -1,4 +1,4 @@
-"""How far what gateways expected of generations was from what came, from logs."""
+"""Compares expected and actual output lengths of generations, from logs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 @dataclass(frozen=True)
 class EndedGeneration:
-    """A generation that ended whole `seconds` after the first line, in tokens."""
+    """A generation that completed `seconds` after the first log line.
+
+    `expected`, `guess` (the caller's length hint) and `made` are in tokens.
+    """
 
     route: str
     seconds: float
@@ -23,12 +26,15 @@
 
 @dataclass(frozen=True)
 class BeliefReview:
-    """All generations of a span of logs that ended whole."""
+    """All completed generations of a span of logs."""
 
     generations: tuple[EndedGeneration, ...]
 
     def by_moment(self, window: float) -> list[dict[str, object]]:
-        """Return for each route and window how much came of what was expected."""
+        """Return the actual over the expected tokens of each route and window.
+
+        `window` is in seconds.
+        """
         groups: dict[tuple[str, int], list[EndedGeneration]] = defaultdict(list)
         for generation in self.generations:
             place = generation.route, int(generation.seconds // window)
@@ -40,7 +46,7 @@
 
 
 def review_beliefs(lines: Iterable[LogLine]) -> BeliefReview:
-    """Pair what was expected at a generation's start with what it made."""
+    """Pair the length expected at each generation's start with its actual length."""
     started: dict[tuple[str, str], LogLine] = {}
     generations = []
     first = None
--- a/src/piershore/telemetry/event_log.py
+++ b/src/piershore/telemetry/event_log.py
@@ -1,7 +1,7 @@
-"""The gateway's log: one JSON object a line on standard output.
+"""The gateway's log: one JSON object per line on standard output.
 
-Writing never waits: lines go to a bounded buffer, and what the reader of the output
-doesn't take in time is left out and counted.
+Writing never blocks: lines go to a bounded buffer, and lines that don't fit, since the
+reader of the output is too slow, are dropped and counted.
 """
 
 from __future__ import annotations
@@ -22,14 +22,15 @@
 from piershore.telemetry.events import EventsOmitted, InternalError, LogEvent
 
 LINES_A_SECOND = 300
-"""Lines of successful requests; a gateway at its usual load writes some 30."""
+"""Lines that report no failure; a gateway under its usual load writes some 30."""
 MOST_BUFFERED_BYTES = 1_000_000
-"""Buffer for a reader that is slow, some seconds at the budget."""
+"""Buffer for a slow reader: some seconds of lines at the maximum rate."""
 FLUSH_SECONDS = 0.25
-"""Lines are written in batches: each write costs a system call."""
+"""Interval between batches of lines: each write costs a system call."""
 MOST_WRITTEN_BYTES = select.PIPE_BUF
-"""Lines written in one call: so much goes into a pipe as a whole. Readers that take a
-part of a larger write left out up to 0.2 s of a busy gateway's lines."""
+"""Bytes written in one call: a pipe takes up to this many atomically. With larger
+writes, readers that received only a part of one lost up to 0.2 s of a busy gateway's
+lines."""
 OUTPUT = 1
 TRACEBACK_LINES = 6
 
@@ -37,7 +38,7 @@
 
 
 class _BufferHandler(standard_logging.Handler):
-    """Puts formatted records into a bounded buffer."""
+    """Appends formatted records to a bounded buffer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -55,7 +56,7 @@
 
 
 class EventLog:
-    """Writes typed events; those of failures go before the budget."""
+    """Writes typed events; the rate limit doesn't apply to events of failures."""
 
     def __init__(self, box: str, output: int = OUTPUT) -> None:
         self._box = box
@@ -69,15 +70,15 @@
 
     @property
     def omitted(self) -> int:
-        """Lines left out since the last line that said so."""
+        """Lines dropped since the last `EventsOmitted` line."""
         return self._handler.omitted
 
     def start(self) -> None:
-        """Make writing to the output never wait."""
+        """Make writes to the output non-blocking."""
         os.set_blocking(self._output, False)
 
     def write(self, event: LogEvent, *, is_failure: bool = False) -> None:
-        """Write one event; one that isn't a failure may be left out."""
+        """Write one event; unless it is a failure, the rate limit may drop it."""
         if not is_failure and not self._take_from_budget():
             self._handler.omitted += 1
             return
@@ -90,18 +91,18 @@
         self._logger.info("%s", orjson.dumps(record).decode())
 
     def write_fault(self, task: str, error: Exception) -> None:
-        """Write a fault of the program, with the end of its traceback."""
+        """Write an unexpected exception with the end of its traceback."""
         place = "".join(traceback.format_exception(error)[-TRACEBACK_LINES:])
         self.write(InternalError(task, repr(error), place), is_failure=True)
 
     async def run(self) -> None:
-        """Write the buffer out from time to time."""
+        """Flush the buffer at regular intervals."""
         while True:
             await trio.sleep(FLUSH_SECONDS)
             self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes without waiting."""
+        """Write what the output accepts without blocking."""
         handler = self._handler
         if handler.omitted and not handler.size:
             count, handler.omitted = handler.omitted, 0
@@ -117,7 +118,7 @@
                 return
 
     def _next_batch(self) -> bytes:
-        """Return the next lines that one call writes, one line at least."""
+        """Return the lines for the next write, at least one line."""
         lines: list[bytes] = []
         size = 0
         for line in self._handler.lines:
--- a/src/piershore/telemetry/events.py
+++ b/src/piershore/telemetry/events.py
@@ -1,6 +1,7 @@
-"""Typed events of the gateway's log; a field has the same name in all of them.
+"""Typed events of the gateway's log; a field has the same meaning in all of them.
 
-Times are seconds, `request` is the caller's id, `endpoint` an endpoint's identity.
+Times are in seconds, `request` is the caller's request id, `endpoint` an endpoint's
+identity.
 """
 
 from __future__ import annotations
@@ -10,12 +11,12 @@
 
 @dataclass(frozen=True)
 class LogEvent:
-    """Base of all events; the class's name is the event's name."""
+    """Base of all events; the event's name is the class name in snake case."""
 
 
 @dataclass(frozen=True)
 class ProcessStarted(LogEvent):
-    """The process runs and listens."""
+    """The process has started and accepts connections."""
 
     incarnation: str
     data_hall: str
@@ -23,21 +24,21 @@
 
 @dataclass(frozen=True)
 class ProcessStopping(LogEvent):
-    """The process was told to stop."""
+    """The process received a signal to stop."""
 
     in_flight: int
 
 
 @dataclass(frozen=True)
 class ProcessStopped(LogEvent):
-    """The process ends; `cut_off` requests were still under way."""
+    """The process exits; `cut_off` requests were still in flight."""
 
     cut_off: int
 
 
 @dataclass(frozen=True)
 class SettingsChanged(LogEvent):
-    """The platform said that the settings file changed."""
+    """The platform signalled that the settings file has changed."""
 
     applied: bool
     reason: str
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True)
 class ConfigurationInForce(LogEvent):
-    """A newer configuration is in force; `source` is the store or a peer."""
+    """A newer configuration took effect; `source` is the store or a peer."""
 
     version: int
     routes: int
@@ -54,9 +55,9 @@
 
 @dataclass(frozen=True)
 class DocumentReadEnded(LogEvent):
-    """A read of a document from a peer ended; `reason` is empty if it is whole.
+    """A read of a document from a peer ended; `reason` is empty if it is complete.
 
-    `received` bytes came in `seconds`.
+    `received` is the number of bytes received in `seconds`.
     """
 
     document: str
@@ -68,9 +69,9 @@
 
 @dataclass(frozen=True)
 class ReportShortened(LogEvent):
-    """Reports to peers, of `size` bytes, no longer fit into `limit`, or fit again.
+    """Reports to peers, of `size` bytes, exceed `limit` bytes, or fit again.
 
-    What peers can do without is left out of those that don't.
+    Optional parts are left out of a report that exceeds the limit.
     """
 
     size: int
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True)
 class DependencyLost(LogEvent):
-    """A part of the platform or a peer no longer answers."""
+    """A service of the platform or a peer no longer responds."""
 
     dependency: str
     reason: str
@@ -88,7 +89,7 @@
 
 @dataclass(frozen=True)
 class DependencyRegained(LogEvent):
-    """It answers again."""
+    """The dependency responds again, after `seconds`."""
 
     dependency: str
     seconds: float
@@ -96,7 +97,7 @@
 
 @dataclass(frozen=True)
 class InvalidEntry(LogEvent):
-    """Something in the store can't be read and was passed over."""
+    """An entry of the store can't be decoded and was skipped."""
 
     kind: str
     reason: str
@@ -104,9 +105,9 @@
 
 @dataclass(frozen=True)
 class StoreReturned(LogEvent):
-    """The store has come back from an older copy, and its revisions with it.
+    """The store was restored from an older copy, so its revisions went back.
 
-    `dependency` is what was read first in the new era.
+    `dependency` names the data that was read first in the new era.
     """
 
     dependency: str
@@ -118,7 +119,10 @@
 
 @dataclass(frozen=True)
 class EndpointLeft(LogEvent):
-    """An endpoint gets no new work; `streams` of this gateway are there."""
+    """An endpoint gets no new requests: it leaves, was removed, or was restarted.
+
+    `streams` counts this gateway's streams there.
+    """
 
     endpoint: str
     service: str
@@ -130,11 +134,11 @@
 
 @dataclass(frozen=True)
 class EndpointTold(LogEvent):
-    """An endpoint's answer with this status said something new of the endpoint itself.
+    """An endpoint's answer with this status carried a new notice.
 
-    It leaves, wants nothing from this gateway for `rest_seconds`, or takes only
-    `rate_limit` requests a second from all gateways; `unreadable` is what it sent in
-    place of a rate.
+    The endpoint leaves, asks this gateway to back off for `rest_seconds`, or accepts
+    only `rate_limit` requests per second from all gateways; `unreadable` is a value
+    that it sent for the rate and that can't be parsed.
     """
 
     endpoint: str
@@ -148,10 +152,11 @@
 
 @dataclass(frozen=True)
 class EndpointLimitChanged(LogEvent):
-    """An endpoint takes `rate` requests a second from all gateways, or any if None.
+    """The rate limit of an endpoint changed.
 
+    It accepts `rate` requests per second from all gateways together, or any if None.
     This gateway may send it `part` requests in any `window` seconds; `source` is
-    "endpoint" or the peer that told of it.
+    "endpoint" or the peer that reported the rate.
     """
 
     endpoint: str
@@ -163,10 +168,10 @@
 
 @dataclass(frozen=True)
 class HallDrained(LogEvent):
-    """Nothing new is sent to a data hall any more, or again if `is_drained` is false.
+    """A data hall was drained, so it gets no new requests, or is no longer drained.
 
-    `streams` of this gateway go on in all drained halls; `source` is the store or a
-    peer.
+    `streams` counts this gateway's streams that continue in all drained data halls;
+    `source` is the store or a peer.
     """
 
     data_hall: str
@@ -178,8 +183,9 @@
 
 @dataclass(frozen=True)
 class EndpointEjected(LogEvent):
-    """An endpoint is left out for a while: it failed several times in a row, or it
-    fell silent and did not answer a question.
+    """An endpoint was ejected: excluded from the choice for a while.
+
+    It failed several times in a row, or it was silent and did not answer a probe.
     """
 
     endpoint: str
@@ -189,7 +195,7 @@
 
 @dataclass(frozen=True)
 class EndpointView:
-    """What was believed of an endpoint that was not chosen."""
+    """The estimated load of an endpoint that was not chosen."""
 
     endpoint: str
     cost: float
@@ -199,13 +205,14 @@
 
 @dataclass(frozen=True)
 class AttemptStarted(LogEvent):
-    """An endpoint was chosen; costs compare it with what else there was.
+    """An endpoint was chosen for an attempt; its `cost` compares it with `others`.
 
     `content` is the same for each request of an `account` with the same target and
-    body. `others` are the next best ones, `ejected` those that were left out, `resting`
-    those that want nothing now; `view_age` is the age of the oldest report of a peer
-    that the loads rest on. `limited` are those that have got this gateway's part of the
-    rate that they take. A generation's output is expected to be `expected_tokens` long.
+    body. `others` are the next best endpoints. Not available were those `ejected`,
+    those `resting` (they asked callers to back off) and those `limited` (this gateway
+    has used up its quota of their rate limit). `view_age` is the age of the oldest peer
+    report that the loads are based on. `expected_tokens` is the expected length of a
+    generation's output.
     """
 
     request: str
@@ -231,7 +238,7 @@
 
 @dataclass(frozen=True)
 class AttemptEnded(LogEvent):
-    """An attempt did not lead to an answer for the caller."""
+    """An attempt ended without an answer for the caller."""
 
     request: str
     endpoint: str
@@ -242,10 +249,10 @@
 
 @dataclass(frozen=True)
 class RequestSuspected(LogEvent):
-    """An endpoint crashed while it began to run a request.
+    """An endpoint crashed just after it began to run a request.
 
-    It is the request's `crashes`-th; `held` is for how many seconds it is not sent
-    on now, or None if it still is.
+    `crashes` counts the crashes so far; `held` is for how many seconds the request is
+    quarantined, or None if it isn't.
     """
 
     request: str
@@ -257,7 +264,10 @@
 
 @dataclass(frozen=True)
 class RequestHeld(LogEvent):
-    """Peers told of crashes under a request, so it `is_held` now, or no longer."""
+    """Crash reports of peers put a request into quarantine or released it.
+
+    `held` is for how many seconds it is quarantined.
+    """
 
     content: str
     is_held: bool
@@ -267,7 +277,7 @@
 
 @dataclass(frozen=True)
 class RequestExcused(LogEvent):
-    """A request that was suspected has run well."""
+    """A suspected request completed without a crash."""
 
     request: str
     content: str
@@ -275,7 +285,7 @@
 
 @dataclass(frozen=True)
 class RequestRefused(LogEvent):
-    """The gateway answered by itself."""
+    """The gateway refused a request itself, with this status and code."""
 
     request: str
     status: int
@@ -287,7 +297,10 @@
 
 @dataclass(frozen=True)
 class RequestAnswered(LogEvent):
-    """The caller got an endpoint's whole answer; `aim` is the route's latency aim."""
+    """The caller received an endpoint's complete answer.
+
+    `aim` is the route's target latency.
+    """
 
     request: str
     endpoint: str
@@ -303,7 +316,7 @@
 
 @dataclass(frozen=True)
 class CallerGone(LogEvent):
-    """The caller closed before its answer was whole."""
+    """The caller closed the connection before its answer was complete."""
 
     request: str
     seconds: float
@@ -311,7 +324,7 @@
 
 @dataclass(frozen=True)
 class InternalError(LogEvent):
-    """A fault of the program, with the place where it was raised."""
+    """An unexpected exception, with the end of its traceback in `place`."""
 
     task: str
     error: str
@@ -320,7 +333,7 @@
 
 @dataclass(frozen=True)
 class StreamBrokenOff(LogEvent):
-    """A stream can't go on; the caller sees that it isn't whole."""
+    """A stream can't continue; the caller can tell that it is incomplete."""
 
     request: str
     endpoint: str
@@ -331,10 +344,10 @@
 
 @dataclass(frozen=True)
 class StreamSilent(LogEvent):
-    """No event came for longer than the endpoint's pace allows (`longest_pause`).
+    """No event arrived for longer than the endpoint's pace allows (`longest_pause`).
 
-    `answered` tells whether the endpoint answered when it was asked, `verdict` what
-    is done with the stream.
+    `answered` is whether the endpoint answered a probe, `verdict` what is done with
+    the stream.
     """
 
     request: str
@@ -348,7 +361,7 @@
 
 @dataclass(frozen=True)
 class MoveStarted(LogEvent):
-    """A generation's memory is being copied to another endpoint."""
+    """The copy of a generation's memory to another endpoint began."""
 
     request: str
     endpoint: str
@@ -359,7 +372,7 @@
 
 @dataclass(frozen=True)
 class MoveEnded(LogEvent):
-    """A move ended; without success the generation stays where it was."""
+    """A move ended; unless it succeeded, the generation stays where it was."""
 
     request: str
     endpoint: str
@@ -370,7 +383,7 @@
 
 @dataclass(frozen=True)
 class StreamContinued(LogEvent):
-    """A stream goes on at another endpoint after its last event."""
+    """A stream continues at another endpoint, after event `last_event`."""
 
     request: str
     endpoint: str
@@ -380,6 +393,6 @@
 
 @dataclass(frozen=True)
 class EventsOmitted(LogEvent):
-    """Lines left out, since the budget or the reader's pace didn't allow more."""
+    """Lines were dropped: too many at once, or the reader was too slow."""
 
     count: int
--- a/src/piershore/telemetry/ingress_metrics.py
+++ b/src/piershore/telemetry/ingress_metrics.py
@@ -11,19 +11,19 @@
 
 REFUSALS = Counter(
     "piershore_ingress_refusals_total",
-    "Answers that the gateway gave by itself.",
+    "Requests that the gateway refused itself, by code and status.",
     ["code", "status"],
     registry=REGISTRY,
 )
 ATTEMPTS = Counter(
     "piershore_ingress_failed_attempts_total",
-    "Attempts at endpoints without an answer to pass on, by outcome.",
+    "Attempts that ended without an answer to forward, by outcome.",
     ["outcome"],
     registry=REGISTRY,
 )
 RETRIES = Counter(
     "piershore_ingress_retries_total",
-    "Requests sent again, by the outcome of the attempt before.",
+    "Retried requests, by the outcome of the previous attempt.",
     ["outcome"],
     registry=REGISTRY,
 )
@@ -35,26 +35,26 @@
 )
 SILENCES = Counter(
     "piershore_ingress_silences_total",
-    "Streams that paused far longer than their endpoint's pace, by what was done.",
+    "Streams silent for far longer than their endpoint's pace, by decision.",
     ["verdict"],
     registry=REGISTRY,
 )
 BROKEN_STREAMS = Counter(
     "piershore_ingress_broken_streams_total",
-    "Streams ended before they were whole, by reason.",
+    "Streams that ended before they were complete, by reason.",
     ["reason"],
     registry=REGISTRY,
 )
 WHOLE_SECONDS = Histogram(
     "piershore_ingress_whole_seconds",
-    "From arrival to the whole answer.",
+    "Time from arrival to the complete answer.",
     ["kind"],
     buckets=SECONDS,
     registry=REGISTRY,
 )
 FIRST_SECONDS = Histogram(
     "piershore_ingress_first_seconds",
-    "From arrival to the first event of a stream.",
+    "Time from arrival to the first event of a stream.",
     buckets=SECONDS,
     registry=REGISTRY,
 )
@@ -65,87 +65,91 @@
     registry=REGISTRY,
 )
 CONFIG_VERSION = Gauge(
-    "piershore_ingress_config_version", "Version in force.", registry=REGISTRY
+    "piershore_ingress_config_version",
+    "Version of the configuration in force.",
+    registry=REGISTRY,
 )
 LOAD_NOTES = Counter(
     "piershore_ingress_load_notes_total",
-    "Datagrams sent to peers that share an endpoint, since a generation began there.",
+    "Datagrams that report a started generation to peers sharing the endpoint.",
     registry=REGISTRY,
 )
 DOCUMENT_BYTES = Counter(
     "piershore_ingress_document_bytes_total",
-    "Bytes read from peers, by document; compressed.",
+    "Compressed bytes read from peers, by document.",
     ["document"],
     registry=REGISTRY,
 )
 ENDPOINTS = Gauge(
     "piershore_ingress_endpoints",
-    "Endpoints known, by stage.",
+    "Known endpoints, by stage.",
     ["stage"],
     registry=REGISTRY,
 )
 STORE_ERA = Gauge(
     "piershore_ingress_store_era",
-    "How often the store had come back from an older copy, as its answers tell.",
+    "Times that the store was restored from an older copy, from its answers.",
     registry=REGISTRY,
 )
 RESTING = Gauge(
     "piershore_ingress_resting_endpoints",
-    "Endpoints that have asked this gateway for rest.",
+    "Endpoints that have asked this gateway to back off.",
     registry=REGISTRY,
 )
 NOTICES = Counter(
     "piershore_ingress_notices_total",
-    "Answers in which endpoints said that they leave, asked for rest or named a rate.",
+    "Answers in which endpoints leave, ask for a backoff or advertise a rate.",
     ["kind"],
     registry=REGISTRY,
 )
 RATE_LIMITS = Gauge(
     "piershore_ingress_endpoint_rate_limit",
-    "Requests a second that an endpoint takes from all gateways, where it names them.",
+    "Requests per second from all gateways that an endpoint advertises.",
     ["endpoint"],
     registry=REGISTRY,
 )
 RATE_PARTS = Gauge(
     "piershore_ingress_endpoint_rate_part",
-    "This gateway's part of that.",
+    "This gateway's quota of the endpoint's rate limit.",
     ["endpoint"],
     registry=REGISTRY,
 )
 EXPECTED_TOKENS = Counter(
     "piershore_ingress_expected_tokens_total",
-    "Tokens that were expected of the generations that ended whole, by route.",
+    "Expected output tokens of completed generations, by route.",
     ["route"],
     registry=REGISTRY,
 )
 MADE_TOKENS = Counter(
     "piershore_ingress_made_tokens_total",
-    "Tokens that those generations made, by route.",
+    "Actual output tokens of completed generations, by route.",
     ["route"],
     registry=REGISTRY,
 )
 DRAINED_HALLS = Gauge(
     "piershore_ingress_drained_halls",
-    "Data halls that get nothing new, since operators drain them.",
+    "Data halls that operators have drained.",
     registry=REGISTRY,
 )
 SUSPECTED = Counter(
     "piershore_ingress_suspected_requests_total",
-    "Requests that endpoints had just begun to run when they crashed.",
+    "Requests that an endpoint had just begun to run when it crashed.",
     registry=REGISTRY,
 )
 QUARANTINED = Gauge(
     "piershore_ingress_quarantined_requests",
-    "Requests that are not sent on, since endpoints crashed under them.",
+    "Quarantined requests: endpoints crashed while they ran them.",
     registry=REGISTRY,
 )
 RETRIES_LEFT = Gauge(
     "piershore_ingress_retries_left",
-    "Retries that this gateway may still make in the present window, by service.",
+    "Retries left to this gateway in the current window, by service.",
     ["service"],
     registry=REGISTRY,
 )
-PEERS = Gauge("piershore_ingress_peers", "Peers heard of late.", registry=REGISTRY)
+PEERS = Gauge(
+    "piershore_ingress_peers", "Peers with a recent report.", registry=REGISTRY
+)
 IN_FLIGHT = Gauge(
-    "piershore_ingress_in_flight", "Requests under way.", registry=REGISTRY
+    "piershore_ingress_in_flight", "Requests in flight.", registry=REGISTRY
 )
--- a/src/piershore/telemetry/logs.py
+++ b/src/piershore/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines, written only when a state changes."""
+"""Structured log lines, one for each change of state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def set_up(log_format: LogFormat) -> None:
-    """Send log lines to standard error in `log_format`."""
+    """Write log lines to standard error in `log_format`."""
     global _format
     _format = log_format
     logging.use_absl_handler()
@@ -28,7 +28,7 @@
 
 
 def state_changed(event: str, **fields: object) -> None:
-    """Log that a state has changed."""
+    """Log a change of state with its fields."""
     record = {"time": datetime.now(UTC).isoformat(), "event": event, **fields}
     if _format is LogFormat.JSON:
         logging.info("%s", orjson.dumps(record, default=str).decode())
--- a/src/piershore/telemetry/loss_review.py
+++ b/src/piershore/telemetry/loss_review.py
@@ -1,7 +1,7 @@
-"""What was lost or late in a span of logs, by kind of request, moment and cause.
+"""Lost and late requests in a span of logs, by route, time window and cause.
 
-Only requests that a gateway has read stand in logs: what callers could not connect for
-is told by them alone.
+Logs only hold requests that a gateway has read: failed connection attempts are visible
+only to callers.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from piershore.telemetry.request_story import LogLine
 
 LONG_TOKENS = 100
-"""Shorter generations say little of an engine's pace."""
+"""Shorter generations are too noisy to measure an engine's pace."""
 BOUND_SHARE = 0.02
-"""The pace that only this part of the generations beat is taken as an engine's bound:
-the few below it were not timed well."""
+"""Quantile of the paces that is taken as an engine's best: the few generations below
+it were timed inaccurately."""
 SERVER_ERROR = 500
 
 
@@ -37,7 +37,10 @@
 
 @dataclass(frozen=True)
 class Loss:
-    """A request that was not served, or late; `seconds` since the first log line."""
+    """A request that was not served, or served late.
+
+    `seconds` is the time of its first line, counted from the first line of the logs.
+    """
 
     request: str
     route: str
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True)
 class StreamPace:
-    """How fast a whole generation came, its first event not counted."""
+    """Time per token of a complete generation, measured from its first event."""
 
     request: str
     endpoint: str
@@ -59,27 +62,27 @@
 
 @dataclass
 class _Request:
-    """The lines of one request at one box."""
+    """The log lines of one request at one box."""
 
     lines: list[LogLine] = field(default_factory=list)
 
     @property
     def route(self) -> str:
-        """The route of its attempts, if it had any."""
+        """The route of its attempts, "-" if it had none."""
         names = (line.fields.get("route") for line in self.lines)
         return str(next(filter(None, names), "-"))
 
     def last(self, *events: str) -> LogLine | None:
-        """Return the last line of these events."""
+        """Return the last line of any of these events."""
         found = (line for line in reversed(self.lines) if line.event in events)
         return next(found, None)
 
 
 @dataclass(frozen=True)
 class LossReview:
-    """All requests of a span of logs, with what was lost and how fast streams came.
+    """The losses and the paces of long streams in a span of logs.
 
-    `omitted` lines were left out by the gateways' budget.
+    `requests` counts all requests, `omitted` the lines that gateways dropped.
     """
 
     requests: int
@@ -89,7 +92,7 @@
 
     @property
     def bound(self) -> float:
-        """Return the seconds a token that engines reach when nothing disturbs them."""
+        """The seconds per token that an undisturbed engine reaches."""
         paces = sorted(pace.token_seconds for pace in self.paces)
         return paces[int(BOUND_SHARE * len(paces))] if paces else 0.0
 
@@ -102,7 +105,7 @@
         ]
 
     def by_moment(self, window: float) -> list[dict[str, object]]:
-        """Return the losses of each window of seconds."""
+        """Return the losses of each window of `window` seconds."""
         rows: dict[int, Counter[str]] = defaultdict(Counter)
         for loss in self.losses:
             rows[int(loss.seconds // window)][loss.cause] += 1
@@ -116,7 +119,7 @@
         ]
 
     def by_engine(self) -> list[dict[str, object]]:
-        """Return the pace of long streams by the engine where they ended."""
+        """Return the pace of long streams by the engine where each ended."""
         groups: dict[str, list[StreamPace]] = defaultdict(list)
         for pace in self.paces:
             groups[pace.endpoint].append(pace)
@@ -133,7 +136,7 @@
 
 
 def review_losses(lines: Iterable[LogLine], longest_pause: float) -> LossReview:
-    """Review logs; a stream whose pause is above `longest_pause` seconds is late."""
+    """Review logs; a stream with a pause above `longest_pause` seconds is late."""
     ordered = sorted(lines, key=lambda line: line.at)
     if not ordered:
         return LossReview(0, (), (), 0)
@@ -166,7 +169,7 @@
 
 
 def _ends_of_boxes(lines: Iterable[LogLine]) -> dict[str, list[datetime]]:
-    """Return when processes of each box started again: the one before had ended."""
+    """Return each box's process starts: each proves that a process before it ended."""
     ends: dict[str, list[datetime]] = defaultdict(list)
     for line in lines:
         if line.event == "process_started":
@@ -177,7 +180,7 @@
 def _cause(
     request: _Request, starts: Iterable[datetime], longest_pause: float
 ) -> str | None:
-    """Return why a request was lost or late; None if it was neither."""
+    """Return why a request was lost or late; None if it was served in time."""
     answered = request.last("request_answered")
     if answered is not None:
         return _cause_of_answer(answered, longest_pause)
--- a/src/piershore/telemetry/metrics.py
+++ b/src/piershore/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges; label values come from enumerations or service names."""
+"""Metrics; label values come from enumerations or service names."""
 
 from __future__ import annotations
 
@@ -17,16 +17,18 @@
 )
 RETRIES = Counter(
     "piershore_retries_total",
-    "Requests tried again, by the reason of the failed try.",
+    "Retried requests, by the reason of the failed attempt.",
     ["reason"],
     registry=REGISTRY,
 )
 ANSWERS = Counter(
-    "piershore_answers_total", "Whole answers given.", ["type"], registry=REGISTRY
+    "piershore_answers_total", "Complete answers.", ["type"], registry=REGISTRY
+)
+TOKENS = Counter(
+    "piershore_tokens_total", "Tokens forwarded to callers.", registry=REGISTRY
 )
-TOKENS = Counter("piershore_tokens_total", "Tokens passed on.", registry=REGISTRY)
 RESUMES = Counter(
-    "piershore_resumes_total", "Streams attached again.", ["by"], registry=REGISTRY
+    "piershore_resumes_total", "Streams resumed.", ["by"], registry=REGISTRY
 )
 STALLS = Counter(
     "piershore_stalls_total",
@@ -39,17 +41,19 @@
     registry=REGISTRY,
 )
 PREEMPTIONS = Counter(
-    "piershore_preemptions_total", "Generations paused midway.", registry=REGISTRY
+    "piershore_preemptions_total",
+    "Preempted generations.",
+    registry=REGISTRY,
 )
 FIRST_TOKEN_SECONDS = Histogram(
     "piershore_first_token_seconds",
-    "From a request's arrival to its first token.",
+    "Time from a request's arrival to its first token.",
     buckets=FIRST_TOKEN_BUCKETS,
     registry=REGISTRY,
 )
 TOKEN_GAP_SECONDS = Histogram(
     "piershore_token_gap_seconds",
-    "Between the frames of one stream.",
+    "Time between consecutive frames of a stream.",
     buckets=PACE_BUCKETS,
     registry=REGISTRY,
 )
@@ -65,23 +69,23 @@
 )
 STORE_ERA = Gauge(
     "piershore_store_era",
-    "How often the store had come back from an older copy, as its answers tell.",
+    "Times that the store was restored from an older copy, from its answers.",
     registry=REGISTRY,
 )
 EDITS_RESTORED = Counter(
     "piershore_edits_restored_total",
-    "Accepted edits that the store had lost and that were written again.",
+    "Accepted edits that the store had lost and that were written to it again.",
     registry=REGISTRY,
 )
 EDIT_OFFERS = Counter(
     "piershore_edit_offers_total",
-    "Accepted edits handed to relays, by whether they were taken.",
+    "Accepted edits offered to relays, by whether the relay accepted them.",
     ["taken"],
     registry=REGISTRY,
 )
 LINKS = Gauge("piershore_links", "Open streams to agents.", registry=REGISTRY)
-RUNNING = Gauge("piershore_running", "Generations or calls running.", registry=REGISTRY)
-QUEUED = Gauge("piershore_queued", "Requests in the queue.", registry=REGISTRY)
+RUNNING = Gauge("piershore_running", "Running generations or calls.", registry=REGISTRY)
+QUEUED = Gauge("piershore_queued", "Queued requests.", registry=REGISTRY)
 PLATFORM_ERRORS = Counter(
     "piershore_platform_errors_total",
     "Failed calls to the platform, by code.",
--- a/src/piershore/telemetry/request_story.py
+++ b/src/piershore/telemetry/request_story.py
@@ -1,4 +1,4 @@
-"""The story of one request, told from the logs of several processes."""
+"""The timeline of one request, from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 import orjson
 
 CONTEXT_SECONDS = 3.0
-"""Changes of beliefs so long before a request's first line may explain it."""
+"""Context events up to this long before a request's first line are included: they may
+explain its outcome."""
 CONTEXT_EVENTS = frozenset(
     {
         "configuration_in_force",
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One line of a log, decoded; `at` is the box's own time of day."""
+    """One decoded log line; `at` is the time by the clock of its box."""
 
     at: datetime
     box: str
@@ -43,21 +44,21 @@
 
     @property
     def endpoints(self) -> frozenset[str]:
-        """Endpoints that the line names."""
+        """The endpoints that the line names."""
         names = (self.fields.get("endpoint"), self.fields.get("target"))
         return frozenset(str(name) for name in names if name)
 
 
 @dataclass(frozen=True)
 class StoryLine:
-    """A line of the story; `seconds` since the request's first line."""
+    """A line of the timeline; `seconds` are counted from the request's first line."""
 
     seconds: float
     line: LogLine
     is_context: bool
 
     def as_json(self) -> dict:
-        """Return plain data for tools."""
+        """Return a dictionary for JSON output."""
         return {
             "seconds": round(self.seconds, 4),
             "box": self.line.box,
@@ -67,7 +68,7 @@
         }
 
     def as_text(self) -> str:
-        """Return one line for people."""
+        """Return one line of text."""
         mark = "~" if self.is_context else " "
         words = (f"{key}={_shown(value)}" for key, value in self.line.fields.items())
         name = self.line.event.replace("_", " ")
@@ -75,7 +76,7 @@
 
 
 def read_lines(texts: Iterable[bytes]) -> Iterator[LogLine]:
-    """Decode log lines; what isn't one, or has a prefix before it, is passed over."""
+    """Decode log lines; ignore a prefix, and skip texts that aren't log lines."""
     for text in texts:
         start = text.find(LINE_START)
         while start >= 0:
@@ -83,7 +84,7 @@
             if line is not None:
                 yield line
                 break
-            # A line that was cut by a kill may have a whole one behind it.
+            # A line that was cut off by a kill may be followed by a complete one.
             start = text.find(LINE_START, start + 1)
 
 
@@ -102,10 +103,10 @@
 
 
 def tell_story(lines: Iterable[LogLine], request: str) -> Iterator[StoryLine]:
-    """Yield the lines of a request in their order, and what explains them.
+    """Yield the lines of a request by time, together with their context.
 
-    Context is what the same box noted of itself, or any box of an endpoint that the
-    request was at, from some seconds before the first line to the last.
+    Context is what the request's boxes logged about themselves or about its endpoints,
+    from `CONTEXT_SECONDS` before its first line to its last.
     """
     lines = sorted(lines, key=lambda line: line.at)
     own = [line for line in lines if line.request == request]
@@ -134,7 +135,7 @@
 
 
 def _shown(value: object) -> str:
-    """Return a value as one word; nested records as their values, by commas."""
+    """Return a value as one word; nested records as comma-separated fields."""
     if isinstance(value, list):
         return "[" + ";".join(map(_shown, value)) + "]"
     if isinstance(value, dict):
