--- a/src/piershore/wire/__init__.py
+++ b/src/piershore/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages and streams between gateway and agent."""
+"""gRPC messages and streams between gateways and agents, and between gateways."""
--- a/src/piershore/wire/channel_options.py
+++ b/src/piershore/wire/channel_options.py
@@ -1,4 +1,4 @@
-"""gRPC options that all streams share."""
+"""gRPC options of all channels and servers."""
 
 from __future__ import annotations
 
--- a/src/piershore/wire/config_batches.py
+++ b/src/piershore/wire/config_batches.py
@@ -1,4 +1,4 @@
-"""Conversion of configuration changes to and from their messages."""
+"""Conversion of configuration changes to and from `ConfigBatch` messages."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from piershore.wire.link_pb2 import ConfigBatch, ConfigObject
 
 SNAPSHOT_BATCH_BYTES = 65_536
-"""Objects in one message of a snapshot: 0.1 s on a link of 5 Mbit/s. As one message, a
-snapshot of 4,500 accounts comes after seconds in which the sender seems silent, and is
-begun anew at another one."""
+"""Size of the objects in one message of a snapshot: 0.1 s on a link of 5 Mbit/s. As one
+message, a snapshot of 4,500 accounts takes seconds to arrive. The sender seems silent
+meanwhile, so the receiver starts again at another sender."""
 
 
 class BatchCursor:
-    """What one receiver has been sent of a view, and what it lacks.
+    """Tracks which changes of a view one receiver has been sent.
 
-    `complete_to` is the revision up to which the receiver was complete when it
-    connected.
+    `complete_to` is the revision up to which the receiver's configuration was complete
+    when it connected.
     """
 
     def __init__(self, view: ConfigView, complete_to: int) -> None:
@@ -32,7 +32,7 @@
         self._position: int | None = None
 
     def next_batches(self) -> Iterator[ConfigBatch]:
-        """Yield what the receiver lacks now; nothing if that is nothing."""
+        """Yield the batches that the receiver lacks, and mark them as sent."""
         view = self._view
         is_first = self._position is None
         has_news = is_first or view.applied_count > self._position
@@ -53,7 +53,7 @@
 
 
 def batch_of(change: StoredObject) -> ConfigBatch:
-    """Return one change as a batch that claims no completeness."""
+    """Return a batch of one change, which doesn't advance the receiver's revision."""
     return _batch((change,), 0, is_snapshot=False)
 
 
@@ -65,14 +65,14 @@
 
 
 class BatchReceiver:
-    """Applies the batches of one stream to a view, in their order."""
+    """Applies the batches of one stream to a view, in order."""
 
     def __init__(self, view: ConfigView) -> None:
         self._view = view
         self._snapshot: list[StoredObject] = []
 
     def take(self, batch: ConfigBatch) -> None:
-        """Apply a batch; a snapshot takes effect with its last one."""
+        """Apply a batch; a snapshot takes effect with its last batch."""
         if not batch.is_snapshot:
             apply_changes(self._view, batch)
             return
--- a/src/piershore/wire/frame_queue.py
+++ b/src/piershore/wire/frame_queue.py
@@ -1,4 +1,4 @@
-"""Outgoing frames of one stream, handed from trio to a gRPC thread."""
+"""Outgoing frames of one stream, passed from trio to a gRPC thread."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class FrameQueue(Generic[Frame]):
-    """A queue that a gRPC thread iterates until it is closed."""
+    """A queue that a gRPC thread iterates over until it is closed."""
 
     def __init__(self) -> None:
         self._frames: SimpleQueue[Frame | None] = SimpleQueue()
 
     def put(self, frame: Frame) -> None:
-        """Send a frame; never blocks."""
+        """Enqueue a frame; never blocks."""
         self._frames.put(frame)
 
     def close(self) -> None:
-        """End the iteration after the frames put so far."""
+        """End the iteration after the frames already enqueued."""
         self._frames.put(None)
 
     def __iter__(self) -> Iterator[Frame]:
--- a/src/piershore/wire/link_client.py
+++ b/src/piershore/wire/link_client.py
@@ -1,4 +1,4 @@
-"""The gateway's end of the stream to one agent."""
+"""The gateway's side of the stream to one agent."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LinkClient:
-    """One attempt at a stream to an agent; a new attempt is a new object."""
+    """One attempt to connect to an agent; create a new object to reconnect."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._frames.put(frame)
 
     def close(self) -> None:
-        """Cut the stream."""
+        """Cancel the stream and close the channel."""
         self._frames.close()
         self._reader.close()
 
--- a/src/piershore/wire/link_server.py
+++ b/src/piershore/wire/link_server.py
@@ -1,7 +1,7 @@
-"""The agent's end of the streams that gateways open.
+"""The agent's side of the streams that gateways open.
 
-Blocking gRPC on its own threads, handed over to trio by the token's
-`run_sync_soon`: docs/design/grpc-under-trio.md has the measurement.
+Blocking gRPC runs on its own threads, which pass events to trio with the token's
+`run_sync_soon`; docs/design/grpc-under-trio.md has the measurements behind this.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 
 
 class LinkHandler(ABC):
-    """Receives what happens on the links, always in the trio thread."""
+    """Handles events of links; always called in the trio thread."""
 
     @abstractmethod
     def link_opened(self, link: int, frames: FrameQueue[AgentFrame]) -> None:
-        """Take note of a new link and the queue that sends on it."""
+        """Handle a new link; frames put into `frames` are sent on it."""
 
     @abstractmethod
     def frame_received(self, link: int, frame: GatewayFrame) -> None:
-        """Handle one frame."""
+        """Handle one received frame."""
 
     @abstractmethod
     def link_closed(self, link: int) -> None:
-        """Take note that a link is gone."""
+        """Handle the end of a link."""
 
 
 class LinkServer(LinkServicer):
@@ -52,7 +52,7 @@
         self._token: trio.lowlevel.TrioToken | None = None
 
     def start(self) -> int:
-        """Listen; return the port."""
+        """Start to listen and return the port."""
         self._token = trio.lowlevel.current_trio_token()
         self._server = grpc.server(
             ThreadPoolExecutor(MAX_LINKS, thread_name_prefix="link"),
@@ -64,11 +64,11 @@
         return port
 
     def close(self) -> None:
-        """Stop listening, and wait until closed links have sent their frames."""
+        """Stop listening; give links that were closed time to send their frames."""
         if self._server is not None:
             self._server.stop(grace=CLOSE_SECONDS).wait()
 
-    def Connect(  # noqa: N802 - the name that the generated code asks for
+    def Connect(  # noqa: N802 - required by the generated code
         self, request_iterator: Iterator[GatewayFrame], context: grpc.ServicerContext
     ) -> Iterator[AgentFrame]:
         """Serve one stream; runs in a gRPC thread."""
@@ -94,7 +94,7 @@
         frames_in: Iterator[GatewayFrame],
         frames_out: FrameQueue[AgentFrame],
     ) -> None:
-        # gRPC raises a bare Exception when the stream is cut.
+        # gRPC raises a bare Exception when the stream breaks.
         with suppress(Exception):
             for frame in frames_in:
                 self._hand_over(self._handler.frame_received, link, frame)
--- a/src/piershore/wire/peer_client.py
+++ b/src/piershore/wire/peer_client.py
@@ -25,7 +25,7 @@
     on_batch: Callable[[ConfigBatch], None],
     on_close: Callable[[], None],
 ) -> StreamReader[ConfigBatch]:
-    """Return a stream of configuration from the gateway at `address`."""
+    """Return a reader for the configuration stream of the gateway at `address`."""
     return StreamReader(
         address,
         lambda channel: PeerStub(channel).Follow(request),
@@ -35,7 +35,7 @@
 
 
 def fetch_report(address: str) -> ReportReply | None:
-    """Ask a gateway for its boxes' reports; blocks; None if it can't be had."""
+    """Return the reports of a gateway and its agents, or None on failure; blocks."""
     with grpc.insecure_channel(address, options=CHANNEL_OPTIONS) as channel:
         try:
             return PeerStub(channel).Report(
@@ -46,7 +46,7 @@
 
 
 def offer_batch(address: str, batch: ConfigBatch) -> bool:
-    """Hand a gateway an accepted edit; blocks; tell whether it has taken it."""
+    """Offer an accepted edit to a gateway; return whether it took it over; blocks."""
     with grpc.insecure_channel(address, options=CHANNEL_OPTIONS) as channel:
         try:
             PeerStub(channel).Offer(batch, timeout=CALL_TIMEOUT_SECONDS)
--- a/src/piershore/wire/peer_server.py
+++ b/src/piershore/wire/peer_server.py
@@ -1,4 +1,4 @@
-"""What a gateway serves to other gateways."""
+"""The gRPC service that a gateway offers to other gateways."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 
 
 class PeerHandler(ABC):
-    """Answers other gateways, always in the trio thread."""
+    """Handles calls of other gateways; always called in the trio thread."""
 
     @abstractmethod
     def follower_joined(
         self, request: FollowRequest, batches: FrameQueue[ConfigBatch]
     ) -> None:
-        """Send a follower what it lacks, and all changes from now on."""
+        """Send a new follower the changes that it lacks, then each later change."""
 
     @abstractmethod
     def follower_left(self, batches: FrameQueue[ConfigBatch]) -> None:
-        """Take note that a follower is gone."""
+        """Handle the end of a follower's stream."""
 
     @abstractmethod
     def offered(self, batch: ConfigBatch) -> None:
-        """Take over an edit that another gateway has just had accepted."""
+        """Take over an edit that the store has accepted from another gateway."""
 
     @abstractmethod
     def report(self) -> ReportReply:
@@ -56,7 +56,7 @@
         self._token: trio.lowlevel.TrioToken | None = None
 
     def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self._token = trio.lowlevel.current_trio_token()
         self._server = grpc.server(
             ThreadPoolExecutor(MAX_CALLS, thread_name_prefix="peer"),
@@ -67,11 +67,11 @@
         self._server.start()
 
     def close(self) -> None:
-        """Stop listening and cut the streams."""
+        """Stop listening and cancel the streams."""
         if self._server is not None:
             self._server.stop(grace=None).wait()
 
-    def Follow(  # noqa: N802 - the name that the generated code asks for
+    def Follow(  # noqa: N802 - required by the generated code
         self, request: FollowRequest, context: grpc.ServicerContext
     ) -> Iterator[ConfigBatch]:
         """Serve one follower; runs in a gRPC thread."""
@@ -84,16 +84,16 @@
             finally:
                 self._token.run_sync_soon(self._handler.follower_left, batches)
 
-    def Report(  # noqa: N802 - the name that the generated code asks for
+    def Report(  # noqa: N802 - required by the generated code
         self, request: ReportRequest, context: grpc.ServicerContext
     ) -> ReportReply:
-        """Answer with the reports; runs in a gRPC thread."""
+        """Return the reports; runs in a gRPC thread."""
         return trio.from_thread.run_sync(self._handler.report, trio_token=self._token)
 
-    def Offer(  # noqa: N802 - the name that the generated code asks for
+    def Offer(  # noqa: N802 - required by the generated code
         self, request: ConfigBatch, context: grpc.ServicerContext
     ) -> OfferReply:
-        """Take an accepted edit over; runs in a gRPC thread."""
+        """Take over an accepted edit; runs in a gRPC thread."""
         trio.from_thread.run_sync(
             self._handler.offered, request, trio_token=self._token
         )
--- a/src/piershore/wire/stream_reader.py
+++ b/src/piershore/wire/stream_reader.py
@@ -1,4 +1,4 @@
-"""Reading of a gRPC stream in a thread, its frames handed over to trio."""
+"""Reads a gRPC stream in a thread and passes its frames to trio."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StreamReader(Generic[Frame]):
-    """One stream to one address; a new attempt is a new object.
+    """One stream to one address; create a new object to reconnect.
 
     `on_frame` and `on_close` are called in the trio thread.
     """
@@ -42,7 +42,7 @@
         Thread(target=self._read, name="stream-reader", daemon=True).start()
 
     def close(self) -> None:
-        """Cut the stream."""
+        """Cancel the stream and close the channel."""
         if self._call is not None:
             self._call.cancel()
         self._channel.close()
