--- a/src/piershore/endpoints/__init__.py
+++ b/src/piershore/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to model engines and plain services."""
+"""Clients for model engines and plain services."""
--- a/src/piershore/endpoints/exceptions.py
+++ b/src/piershore/endpoints/exceptions.py
@@ -6,19 +6,19 @@
 
 
 class EngineLostError(PiershoreError):
-    """The engine can't be reached, or its stream broke."""
+    """The engine is unreachable, or its stream broke."""
 
     code = "engine_lost"
 
 
 class EngineStalledError(EngineLostError):
-    """The engine has sent nothing for a while, but its stream was open."""
+    """The engine sent nothing for the stall timeout on an open stream."""
 
     code = "engine_stalled"
 
 
 class EngineRestingError(PiershoreError):
-    """The engine has turned a generation away, and wants none for `seconds`."""
+    """The engine refused a generation and asks callers to back off for `seconds`."""
 
     code = "engine_resting"
 
@@ -28,18 +28,18 @@
 
 
 class EngineUnknownGenerationError(PiershoreError):
-    """The engine doesn't know the generation (any more)."""
+    """The engine doesn't know the generation, or no longer does."""
 
     code = "generation_unknown"
 
 
 class CallNotSentError(PiershoreError):
-    """Nothing of the call reached the service."""
+    """The call was not sent: no part of it reached the service."""
 
     code = "endpoint_unreachable"
 
 
 class CallUncertainError(PiershoreError):
-    """The call was sent, but it can't be known whether it executed."""
+    """The call was sent, but it is unknown whether it was executed."""
 
     code = "outcome_unknown"
--- a/src/piershore/endpoints/http_engine_client.py
+++ b/src/piershore/endpoints/http_engine_client.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP, streaming lines of JSON."""
+"""Client for a model engine over HTTP that streams lines of JSON."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 def _rest_asked(response: httpx.Response) -> float | None:
-    """Return how long the engine wants nothing, if it says so."""
+    """Return the seconds for which the engine asks callers to back off, if it does."""
     if response.status_code != httpx.codes.SERVICE_UNAVAILABLE:
         return None
     return longest_rest(response.headers.get_list(RETRY_AFTER))
 
 
 def _ignore(rate: float | None) -> None:
-    """Take no rates: nobody listens yet."""
+    """Ignore a rate while no listener is set."""
 
 
 class HttpEngineClient(EngineClient):
@@ -53,7 +53,7 @@
         self._on_rate: Callable[[float | None], None] = _ignore
 
     def listen(self, on_rate: Callable[[float | None], None]) -> None:
-        """Let `on_rate` get the requests a second that each answer names, or None."""
+        """Call `on_rate` with the requests per second in each answer, or None."""
         self._on_rate = on_rate
 
     async def close(self) -> None:
@@ -72,13 +72,16 @@
             yield tokens
 
     async def resume(self, identity: str, index: int) -> AsyncIterator[EngineTokens]:
-        """Stream a generation again from `index` on."""
+        """Stream a running generation again from `index` on."""
         path = f"/v1/generations/{identity}?from={index}"
         async for tokens in self._stream("GET", path, None):
             yield tokens
 
     async def cancel(self, identity: str) -> None:
-        """Stop a generation; an engine that is gone has stopped it already."""
+        """Stop a generation; an engine that has crashed has stopped it already.
+
+        Raise `EngineLostError` if the engine is unreachable.
+        """
         try:
             await self._client.delete(f"/v1/generations/{identity}")
         except httpx.HTTPError as error:
@@ -120,12 +123,18 @@
             ) as response:
                 self._on_rate(lowest_rate(response.headers.get_list(RATE_LIMIT)))
                 if response.status_code == httpx.codes.NOT_FOUND:
-                    raise EngineUnknownGenerationError("the engine lost it")
+                    raise EngineUnknownGenerationError(
+                        "the engine doesn't know the generation"
+                    )
                 rest = _rest_asked(response)
                 if rest is not None and method == "POST":
-                    raise EngineRestingError("the engine asks for rest", rest)
+                    raise EngineRestingError(
+                        "the engine asks callers to back off", rest
+                    )
                 if response.is_error:
-                    raise EngineLostError(f"the engine said {response.status_code}")
+                    raise EngineLostError(
+                        f"the engine answered with status {response.status_code}"
+                    )
                 opened = True
                 async for line in response.aiter_lines():
                     item = orjson.loads(line)
@@ -135,11 +144,11 @@
                     yield EngineTokens(item["i"], tuple(item["t"]))
         except httpx.ReadTimeout as error:
             if opened:
-                raise EngineStalledError("the engine is silent") from error
-            raise EngineLostError("the engine doesn't answer") from error
+                raise EngineStalledError("the engine's stream stalled") from error
+            raise EngineLostError("the engine didn't answer in time") from error
         except httpx.HTTPError as error:
             raise EngineLostError("the engine's stream broke") from error
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
-            raise EngineLostError("the engine sent what can't be read") from error
+            raise EngineLostError("the engine sent an invalid line") from error
         if not whole:
-            raise EngineLostError("the engine's stream ended early")
+            raise EngineLostError("the engine's stream ended before its last line")
--- a/src/piershore/endpoints/http_service_client.py
+++ b/src/piershore/endpoints/http_service_client.py
@@ -1,4 +1,4 @@
-"""A plain service over HTTP."""
+"""Client for a plain service over HTTP."""
 
 from __future__ import annotations
 
@@ -37,9 +37,11 @@
                 f"/call/{kind}", content=body, headers=headers
             )
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout) as error:
-            raise CallNotSentError("the service can't be reached") from error
+            raise CallNotSentError("the service is unreachable") from error
         except httpx.HTTPError as error:
-            raise CallUncertainError("the service's answer was lost") from error
+            raise CallUncertainError(
+                "the call failed before the service's answer was complete"
+            ) from error
         rest = None
         if response.status_code == httpx.codes.SERVICE_UNAVAILABLE:
             rest = longest_rest(response.headers.get_list(RETRY_AFTER))
