--- a/src/piershore/settings/__init__.py
+++ b/src/piershore/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of the processes, read from YAML."""
+"""Settings of the processes."""
--- a/src/piershore/settings/box_settings.py
+++ b/src/piershore/settings/box_settings.py
@@ -1,4 +1,4 @@
-"""What a process learns about its box when it starts."""
+"""Settings of a box that a process reads when it starts."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True)
 class BoxSettings:
-    """Addresses, place and limits of one box; times in seconds.
+    """Addresses, location and limits of one box; times are in seconds.
 
-    `peer_ports` are free on every box for what processes of the system say to
-    each other; `seeds` are boxes that may know others, perhaps out of date.
-    `link_megabits` a second cross the box's own link in each direction.
-    `drain_seconds` is how soon nothing new may reach a data hall that operators drain;
-    None where the platform doesn't drain data halls.
+    `peer_ports` is a range that is free on every box for traffic between gateways.
+    `seeds` are boxes to discover peers from; the list may be out of date.
+    `link_megabits` is the capacity of the box's link in Mbit/s in each direction.
+    `drain_seconds` is the time within which no new requests may reach a data hall that
+    operators drain; None where the platform doesn't drain data halls.
     """
 
     name: str
--- a/src/piershore/settings/document.py
+++ b/src/piershore/settings/document.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Document:
-    """One valid document; `spec` is of the type that `kind` names."""
+    """One valid document; `spec` has the type that belongs to `kind`."""
 
     kind: str
     name: str
@@ -46,7 +46,7 @@
 
 
 def read_documents(file: str, text: str) -> tuple[Document, ...]:
-    """Read all documents; raise `InvalidSettingsError` with every finding."""
+    """Parse all documents; raise `InvalidSettingsError` with every finding."""
     try:
         roots = [root for root in YAML().load_all(text) if root is not None]
     except MarkedYAMLError as error:
@@ -121,7 +121,7 @@
 
 
 def _is_told(finding: Finding, checked: list[Finding]) -> bool:
-    """Tell whether a fault of a whole object is one of its fields' faults."""
+    """Return whether an object's fault is already reported for one of its fields."""
     return any(
         known.path.startswith(f"{finding.path}.") and known.message in finding.message
         for known in checked
--- a/src/piershore/settings/exceptions.py
+++ b/src/piershore/settings/exceptions.py
@@ -11,7 +11,7 @@
 
 
 class InvalidSettingsError(PiershoreError):
-    """The file has faults; `findings` names each with its place."""
+    """A settings file is invalid; `findings` lists every fault with its location."""
 
     code = "invalid_settings"
 
--- a/src/piershore/settings/finding.py
+++ b/src/piershore/settings/finding.py
@@ -1,4 +1,4 @@
-"""One fault in a file, with its place."""
+"""A fault in a file, with its location."""
 
 from __future__ import annotations
 
--- a/src/piershore/settings/load.py
+++ b/src/piershore/settings/load.py
@@ -1,4 +1,4 @@
-"""Reading the settings file of a process."""
+"""Reads the settings file of a process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 def load_process(file: str, kind: str) -> Document:
-    """Read the one document of `kind` that the file must hold."""
+    """Read a file that must hold exactly one document, of kind `kind`.
+
+    Raise `InvalidSettingsError` otherwise.
+    """
     documents = load_documents(file)
     if len(documents) != 1 or documents[0].kind != kind:
         message = f"the file must hold one document of kind {kind}"
--- a/src/piershore/settings/process_settings.py
+++ b/src/piershore/settings/process_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the two kinds of process."""
+"""Settings of gateways and agents."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class LogFormat(StrEnum):
-    """How log lines are written."""
+    """The format of log lines."""
 
     KEY_VALUE = "key_value"
     JSON = "json"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class RequestCaps:
-    """Largest sizes that callers may send, in bytes."""
+    """Maximum sizes in callers' requests, in bytes."""
 
     body_bytes: int = 1_024 * KIBIBYTE
     header_bytes: int = 16 * KIBIBYTE
@@ -35,10 +35,11 @@
 
 @dataclass(frozen=True)
 class GatewaySettings:
-    """A gateway; addresses are host:port, times are seconds.
+    """Settings of a gateway; addresses are host:port, times are in seconds.
 
-    `peers` are other gateways' `peer_listen`: asked for the configuration when the
-    platform is out before this gateway has heard of any.
+    `peers` are the `peer_listen` addresses of other gateways. They provide the
+    configuration if the platform is unavailable before this gateway has discovered
+    any peer.
     """
 
     data_hall: str
@@ -62,9 +63,9 @@
 
 @dataclass(frozen=True)
 class AgentSettings:
-    """An agent; addresses are host:port, times are seconds.
+    """Settings of an agent; addresses are host:port, times are in seconds.
 
-    `advertise` is the address that gateways are told, if it isn't `listen`.
+    `advertise` is the address announced to gateways; by default that is `listen`.
     """
 
     data_hall: str
