--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,6 +1,6 @@
-Feature: Settings are checked as a whole
+Feature: Validation of settings reports every fault
 
-  Scenario: Mistakes of every sort are named together with their lines
+  Scenario: Faults of all kinds are reported together, each with its line
     Given this settings file
       """
       kind: Gateway
@@ -26,22 +26,22 @@
       | 11   | spec.caps.body_bytes | wrong_type    |
       | 12   | spec.caps.size       | unknown_key   |
 
-  Scenario Outline: <mistake>
+  Scenario Outline: <fault>
     Given the settings text "<text>"
     When it is validated
     Then one finding has line <line>, path <path> and code <code>
 
     Examples:
-      | mistake             | text                                        | line | path | code         |
-      | nothing in the file |                                             | 1    | $    | empty        |
-      | no YAML             | a: [                                        | 1    | $    | invalid_yaml |
-      | a list              | - a                                         | 1    | $    | wrong_type   |
-      | no name             | kind: Gateway\nspec: {}                     | 1    | name | missing      |
-      | an unknown kind     | kind: Ship\nname: a\nspec: {}               | 1    | kind | unknown_kind |
-      | a spec of a list    | kind: Gateway\nname: a\nspec: []            | 3    | spec | wrong_type   |
-      | a key beside spec   | kind: Service\nname: a\nspec: {}\nmore: 1   | 4    | more | unknown_key  |
+      | fault                    | text                                      | line | path | code         |
+      | an empty file            |                                           | 1    | $    | empty        |
+      | invalid YAML             | a: [                                      | 1    | $    | invalid_yaml |
+      | a list as a document     | - a                                       | 1    | $    | wrong_type   |
+      | a missing name           | kind: Gateway\nspec: {}                   | 1    | name | missing      |
+      | an unknown kind          | kind: Ship\nname: a\nspec: {}             | 1    | kind | unknown_kind |
+      | a list as a spec         | kind: Gateway\nname: a\nspec: []          | 3    | spec | wrong_type   |
+      | an unknown top-level key | kind: Service\nname: a\nspec: {}\nmore: 1 | 4    | more | unknown_key  |
 
-  Scenario: Five mistakes are five findings, each once
+  Scenario: Five faults give five findings, without duplicates
     Given this settings file
       """
       kind: AccountTemplate
@@ -65,7 +65,7 @@
       | 10   | spec.parameters.requests_per_second     | invalid_value |
       | 11   | spec.parameters.concurrent_request      | unknown_key   |
 
-  Scenario Outline: A value out of range in <kind>
+  Scenario Outline: An invalid or missing value in <kind>
     Given the settings text "kind: <kind>\nname: a\nspec:\n  <text>"
     When it is validated
     Then some finding has code <code>
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the story of one request."""
+"""Steps for the timeline of one request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from standins.published_store import StoreFault
 
 LONGEST_VIEW_AGE_SECONDS = 3.0
-"""Reports of a peer count for no longer."""
+"""A peer's report expires after this time."""
 
 
 async def refused_by_all(world):
@@ -56,12 +56,12 @@
 
 
 FATES = {
-    "was refused by all": (refused_by_all, "desk", ["not run"] * 9),
+    "was refused by all endpoints": (refused_by_all, "desk", ["not run"] * 9),
     "may have run": (refused_by_all, "desk", ["reset"]),
     "was moved": (moved, "model", []),
     "was broken off": (broken_off, "model", []),
-    "came after an ejection": (after_ejection, "desk", []),
-    "came before any configuration": (too_early, "desk", []),
+    "arrived after an ejection": (after_ejection, "desk", []),
+    "arrived before any configuration": (too_early, "desk", []),
 }
 
 
@@ -91,7 +91,7 @@
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-@when("the logs are asked for its id")
+@when("its timeline is requested")
 def ask(context):
     done = explain("abc", str(context.file), "--output=json")
     assert done.returncode == 0, done.stderr
@@ -100,7 +100,7 @@
     assert len(done.stdout.splitlines()) == len(context.story)
 
 
-@then("the story names {words} in this order")
+@then("the timeline has {words} in this order")
 def check_story(context, words):
     told = iter(
         str(value)
@@ -111,7 +111,7 @@
         assert any(word.strip() == value for value in told), (word, context.story)
 
 
-@then("faulty log lines are passed over and an unknown request is told so")
+@then("invalid log lines are skipped and an unknown request is reported")
 def check_faulty(context):
     with tempfile.NamedTemporaryFile(suffix=".log") as file:
         file.write(b'{"time": "x"}\nnot json\n{"time":"2026-01-01T00:00:00Z","bo')
@@ -122,7 +122,7 @@
     assert explain("abc", "/no/such/file").returncode == ExitCode.FAILED
 
 
-@then("each choice tells of the endpoints that were not chosen")
+@then("each attempt lists the endpoints that were not chosen")
 def choice_tells_others(context):
     choices = [line for line in context.story if line["event"] == "attempt_started"]
     assert [len(choice["others"]) for choice in choices] == [2, 1, 0], choices
@@ -134,7 +134,7 @@
         assert 0 <= choice["view_age"] < LONGEST_VIEW_AGE_SECONDS
 
 
-@then("its choice names the endpoint that was left out")
+@then("its attempt lists the ejected endpoint")
 def choice_names_ejected(context):
     choice = next(line for line in context.story if line["event"] == "attempt_started")
     assert choice["ejected"] == ["i-0"], choice
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a gateway's link to an agent, without processes."""
+"""Steps for a gateway's link to an agent, without other processes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class SilentClient:
-    """A connection that sends nothing."""
+    """A link client that sends nothing."""
 
     def send(self, frame):
         """Drop a frame."""
@@ -69,7 +69,7 @@
     """A nursery that starts nothing."""
 
     def start_soon(self, function, *arguments):
-        """Leave a link unconnected."""
+        """Ignore the task, so that the link stays unconnected."""
 
 
 def announce(context, incarnation, version):
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the review of what was lost or late."""
+"""Steps for the review of lost and late requests, and of length estimates."""
 
 from __future__ import annotations
 
@@ -41,17 +41,17 @@
 
 STARTED_AGAIN = line("process_started", 9.0, "", incarnation="other")
 LAST_LINES = {
-    "whole in time": answered(),
-    "whole after the aim": answered(first_seconds=1.5),
-    "stream's late first": answered(first_seconds=1.5, made_tokens=8),
+    "complete in time": answered(),
+    "complete after the target latency": answered(first_seconds=1.5),
+    "stream with a late first event": answered(first_seconds=1.5, made_tokens=8),
     "stream with a pause": answered(longest_pause=0.3, made_tokens=8),
-    "endpoint's 500": answered(status=500),
+    "status 500 from the endpoint": answered(status=500),
     "refused": line("request_refused", 2.0, status=503, code="no_endpoint"),
     "broken off": line("stream_broken_off", 2.0, reason="reset"),
-    "caller gone": line("caller_gone", 2.0),
-    "gateway started again": STARTED_AGAIN,
-    "nothing more": line("process_started", 0.5, "", incarnation="own"),
-    "gateway started again, behind a cut line": STARTED_AGAIN[:40] + STARTED_AGAIN,
+    "caller disconnected": line("caller_gone", 2.0),
+    "gateway restarted": STARTED_AGAIN,
+    "no further line": line("process_started", 0.5, "", incarnation="own"),
+    "gateway restarted, behind a truncated line": STARTED_AGAIN[:40] + STARTED_AGAIN,
 }
 
 
@@ -76,7 +76,7 @@
 
 
 @given(
-    "logs of {many:d} long streams at {fast:d} ms a token and {few:d} at {slow:d} ms "
+    "logs of {many:d} long streams at {fast:d} ms per token and {few:d} at {slow:d} ms "
     "at another engine"
 )
 def given_paces(context, many, fast, few, slow):
@@ -91,7 +91,7 @@
     write(context, lines)
 
 
-@when("the losses are asked for")
+@when("the losses are requested")
 def ask_losses(context):
     context.shown = ask(str(context.file))
     done = ask(str(context.file), "--output", "json")
@@ -114,7 +114,7 @@
     assert of_bound == {"i-fast": fast, "i-slow": slow}, of_bound
 
 
-@then("the verb says so with its exit code")
+@then("the command fails and names the error")
 def check_no_request(context):
     write(context, [STARTED_AGAIN])
     empty = ask(str(context.file))
@@ -123,7 +123,7 @@
     assert missing.returncode == ExitCode.FAILED and "none.log" in missing.stderr
 
 
-@given("logs in which {count:d} generations make twice the tokens that were expected")
+@given("logs in which {count:d} generations make twice the expected tokens")
 def given_longer(context, count):
     lines = []
     for number in range(count):
@@ -138,7 +138,7 @@
     context.file.write_bytes(b"\n".join(lines) + b"\n")
 
 
-@when("the beliefs are asked for")
+@when("the length estimates are reviewed")
 def ask_beliefs(context):
     context.asked = ask_verb(
         "beliefs", str(context.file), "--window", "60", "--output", "json"
@@ -146,7 +146,7 @@
     context.empty = ask_verb("beliefs", "/dev/null")
 
 
-@then("2.0 of what was expected came, and the verb fails without generations")
+@then("actual over expected tokens is 2.0, and the command fails without generations")
 def check_beliefs(context):
     assert context.asked.returncode == ExitCode.OK, context.asked.stderr
     (row,) = orjson.loads(context.asked.stdout)
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps on settings files."""
+"""Steps for the validation of settings files."""
 
 from __future__ import annotations
 
