--- a/src/piershore/gateway/__init__.py
+++ b/src/piershore/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: callers' API, admin API and routing."""
+"""The gateway process: callers' API, operators' API and routing to agents."""
--- a/src/piershore/gateway/account_directory.py
+++ b/src/piershore/gateway/account_directory.py
@@ -1,4 +1,4 @@
-"""Client accounts by their bearer keys, and their effective parameters."""
+"""Lookup of client accounts by bearer key, with their effective parameters."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def bearer_key(authorization: str | None) -> str | None:
-    """Return the key in an `Authorization` header, or None."""
+    """Return the bearer key in an `Authorization` header, or None if there is none."""
     if authorization is None or not authorization.startswith(BEARER):
         return None
     return authorization.removeprefix(BEARER).strip() or None
 
 
 class AccountDirectory:
-    """Finds the account of a key; follows the configuration."""
+    """Index of accounts by the hashes of their keys; follows changes of the view."""
 
     def __init__(self, view: ConfigView) -> None:
         self._view = view
@@ -35,7 +35,7 @@
         view.add_listener(self._follow)
 
     def authenticate(self, key: str) -> EffectiveAccount | None:
-        """Return the account that `key` belongs to, or None."""
+        """Return the account that `key` belongs to, or None if the key is unknown."""
         digest = key_hash(key)
         name = self._names.get(digest)
         if name is None:
@@ -44,7 +44,7 @@
         return self.effective(name) if stored else None
 
     def effective(self, name: str) -> EffectiveAccount | None:
-        """Return the account with its template filled in."""
+        """Return the account merged with its template, or None if it doesn't exist."""
         account = self._view.get(ObjectKind.ACCOUNT, name)
         if account is None:
             return None
--- a/src/piershore/gateway/admin_api.py
+++ b/src/piershore/gateway/admin_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API for operators."""
+"""HTTP API for operators."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class AdminApi:
-    """Handlers of the operators' API."""
+    """Request handlers of the operators' API, under `/admin/v1`."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._reports = reports
 
     def blueprint(self) -> Blueprint:
-        """Return the routes."""
+        """Return the API's routes."""
         routes = Blueprint("admin", __name__, url_prefix="/admin/v1")
         routes.before_request(self.authenticate)
         routes.get("/status")(self.status)
@@ -58,7 +58,7 @@
         return routes
 
     async def authenticate(self) -> None:
-        """Refuse requests without an operator's key."""
+        """Refuse requests without a valid operator key."""
         key = bearer_key(request.headers.get("Authorization"))
         digest = key_hash(key or "")
         matches = [compare_digest(digest, known) for known in self._key_hashes]
@@ -78,19 +78,19 @@
         return _json({"items": sorted(items, key=lambda item: item["name"])})
 
     async def get(self, collection: str, name: str) -> Response:
-        """Return one object; its version is the `ETag`."""
+        """Return one object with its version as `ETag`."""
         stored = await self._editor.read(ObjectName(_kind(collection), name))
         return _object_response(stored)
 
     async def put(self, collection: str, name: str) -> Response:
-        """Replace an object, or create it with `If-None-Match: *`."""
+        """Replace the version in `If-Match`, or create with `If-None-Match: *`."""
         kind = _kind(collection)
         version = _edited_version(may_create=True)
         data = await self._reader.read_json()
         return await self._edit(self._editor.put, ObjectName(kind, name), data, version)
 
     async def patch(self, collection: str, name: str) -> Response:
-        """Change some fields of an object (RFC 7396)."""
+        """Apply a merge patch (RFC 7396) to the version in `If-Match`."""
         kind = _kind(collection)
         version = _edited_version(may_create=False)
         data = await self._reader.read_json()
@@ -99,18 +99,18 @@
         )
 
     async def delete(self, collection: str, name: str) -> Response:
-        """Delete an object."""
+        """Delete the version of an object in `If-Match`."""
         kind = _kind(collection)
         version = _edited_version(may_create=False)
         return await self._edit(self._editor.delete, ObjectName(kind, name), version)
 
     async def status(self) -> Response:
-        """Return all boxes as they report."""
+        """Return the status of all boxes."""
         statuses = await self._reports.statuses()
         return _json({"boxes": [as_plain(status) for status in statuses]})
 
     async def rollout(self, version: str) -> Response:
-        """Return on how many boxes a version is in force."""
+        """Return on how many boxes a version is in force, and which lag."""
         if not (version.isascii() and version.isdigit()):
             raise RequestRefusedError(
                 RefusalReason.INVALID_FIELD, "the version must be a whole number"
@@ -118,7 +118,7 @@
         return _json(as_plain(await self._reports.rollout(int(version))))
 
     async def drain(self, name: str) -> Response:
-        """Drain an endpoint, or end that with the body ``{"drain": false}``."""
+        """Drain an endpoint, or clear its drain with the body ``{"drain": false}``."""
         drain = True
         if request.content_length:
             data = await self._reader.read_json()
--- a/src/piershore/gateway/box_directory.py
+++ b/src/piershore/gateway/box_directory.py
@@ -1,4 +1,4 @@
-"""The platform's list of boxes, as this gateway heard it last."""
+"""The latest list of boxes that was received from the platform or a peer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BoxDirectory:
-    """Keeps the newest list and tells listeners when it changes."""
+    """Keeps the latest list of boxes and calls listeners when it changes."""
 
     def __init__(self) -> None:
         self._boxes: tuple[Box, ...] = ()
@@ -30,7 +30,7 @@
         self._listeners.append(listener)
 
     def gateways(self) -> dict[str, Box]:
-        """Return the gateways that are live, by name."""
+        """Return the live gateways by name."""
         return {
             box.name: box
             for box in self._boxes
@@ -38,7 +38,7 @@
         }
 
     def update(self, boxes: Iterable[Box]) -> None:
-        """Take over a newer list."""
+        """Replace the list; call the listeners if it differs."""
         fresh = tuple(sorted(boxes, key=lambda box: box.name))
         if fresh == self._boxes:
             return
@@ -47,7 +47,7 @@
             listener()
 
     def entries(self) -> list[BoxEntry]:
-        """Return the list as messages."""
+        """Return the list as protobuf messages."""
         return [
             BoxEntry(
                 name=box.name,
@@ -60,7 +60,7 @@
         ]
 
     def update_from(self, entries: Iterable[BoxEntry]) -> None:
-        """Take over a list from messages."""
+        """Replace the list by one from protobuf messages."""
         self.update(
             Box(
                 name=entry.name,
--- a/src/piershore/gateway/config_editor.py
+++ b/src/piershore/gateway/config_editor.py
@@ -1,4 +1,4 @@
-"""Operators' edits: validation, conditional write, difference on a conflict."""
+"""Operators' edits: validation, conditional write, differences on a conflict."""
 
 from __future__ import annotations
 
@@ -35,7 +35,8 @@
 DRAIN_ATTEMPTS = 5
 RETRY_AFTER_SECONDS = 2.0
 RESTORED_SECONDS = 1.0
-"""What a store that came back has lost is written again within about this time."""
+"""After the store was restored from an older copy, the gateways write the edits that it
+lost again within about this time."""
 
 EDITABLE_TYPES = {
     ObjectKind.TEMPLATE: AccountTemplate,
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True)
 class FieldDifference:
-    """A field that differs between the caller's edit and the current object."""
+    """A field that differs between the operator's edit and the current object."""
 
     path: str
     yours: object
@@ -54,7 +55,10 @@
 
 
 class EditConflictError(RequestRefusedError):
-    """The object has changed since the version that the operator edited."""
+    """The object has changed since the version that the operator edited.
+
+    `version` is the current version, 0 if the object doesn't exist.
+    """
 
     def __init__(
         self, message: str, version: int, differences: tuple[FieldDifference, ...]
@@ -65,7 +69,13 @@
 
 
 class ConfigEditor:
-    """Writes objects to the platform; an answer means that it is accepted."""
+    """Validates operators' edits and writes them to the platform's store.
+
+    If a write returns, the edit is accepted: it is stored and in force in `view`, and
+    `accepted` was called with it. Otherwise `RequestRefusedError` is raised.
+    `seconds_to_settle` returns for how many more seconds deletions are refused since
+    the store was restored from an older copy.
+    """
 
     def __init__(
         self,
@@ -80,7 +90,10 @@
         self._seconds_to_settle = seconds_to_settle
 
     async def read(self, name: ObjectName) -> StoredObject:
-        """Return the newest version that the platform or this box knows."""
+        """Return the newer one of the platform's and this gateway's version.
+
+        Without the platform, return the version in force at this gateway.
+        """
         known = self._view.stored(name.kind, name.name)
         try:
             stored = await self._store.get(name)
@@ -98,14 +111,14 @@
         return newest
 
     async def put(self, name: ObjectName, data: object, version: int) -> StoredObject:
-        """Replace an object, or create it with `version` 0."""
+        """Replace an object at `version`, or create it if `version` is 0."""
         spec = self._check(name, data)
         return await self._write(name, encode(spec), version)
 
     async def patch(
         self, name: ObjectName, changes: object, version: int
     ) -> StoredObject:
-        """Apply a merge patch (RFC 7396) to an object."""
+        """Apply a merge patch (RFC 7396) to an object at `version`."""
         current = await self.read(name)
         merged = _merge(orjson.loads(current.value), changes)
         if current.version != version:
@@ -113,7 +126,7 @@
         return await self.put(name, merged, version)
 
     async def delete(self, name: ObjectName, version: int) -> StoredObject:
-        """Delete an object that nothing else names."""
+        """Delete an object that no account refers to."""
         users = list(self._users(name))
         if users:
             raise RequestRefusedError(
@@ -124,7 +137,7 @@
         return await self._write(name, None, version)
 
     async def drain(self, endpoint: str, drain: bool) -> StoredObject:
-        """Set or clear an endpoint's drain, whatever else changes meanwhile."""
+        """Set or clear an endpoint's drain; retry if its entry changes meanwhile."""
         name = ObjectName(ObjectKind.ENDPOINT, endpoint)
         current = await self.read(name)
         for _ in range(DRAIN_ATTEMPTS):
@@ -210,21 +223,22 @@
         return written
 
     async def _check_settled(self, name: ObjectName) -> None:
-        """Refuse a deletion just after the store came back.
+        """Refuse a deletion just after the store was restored from an older copy.
 
-        A gateway that hasn't read it since would take the object for lost, and write
-        it again.
+        A gateway that hasn't read the store since then would consider the deleted
+        object lost and write it again.
         """
-        await self._store.get(name)  # Its answer tells the store's era.
+        await self._store.get(name)  # Updates the store's era from the answer.
         if era_of(self._view.complete_to) < self._store.era:
             raise _being_restored()
         if seconds := self._seconds_to_settle():
             raise _being_restored(seconds)
 
     def _check_lost(self, name: ObjectName, error: StaleVersionError) -> None:
-        """Refuse an edit that conflicts only since the store has lost the object.
+        """Refuse an edit that conflicts only because the store lost the version.
 
-        Told of a conflict, an operator would begin from the older one.
+        A conflict would make the operator edit the older version that the store has
+        until the lost one is written again.
         """
         known = self._view.stored(name.kind, name.name)
         version = 0 if error.current is None else error.current.version
--- a/src/piershore/gateway/config_source.py
+++ b/src/piershore/gateway/config_source.py
@@ -1,4 +1,4 @@
-"""Where this gateway's configuration comes from: the platform, or a relay."""
+"""Source of this gateway's configuration: the platform or a relay."""
 
 from __future__ import annotations
 
@@ -24,10 +24,12 @@
 
 
 class ConfigSource:
-    """Fills a `ConfigView` and a `BoxDirectory`.
+    """Keeps a `ConfigView` and a `BoxDirectory` up to date.
 
-    A relay watches the platform. Another gateway follows a relay of its data
-    hall, then any other gateway, and asks the platform when none answers.
+    A gateway that is a relay of its data hall watches the platform. The others follow a
+    relay of their data hall; if none answers, up to two other gateways are tried and
+    then the platform. `seeds` are peer addresses that are used while no gateway is
+    known. `box_list_period` is in seconds.
     """
 
     def __init__(
@@ -52,7 +54,7 @@
         self._failures = 0
 
     async def run(self) -> None:
-        """Keep view and directory up to date until cancelled."""
+        """Update the view and the directory until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._box_loop)
             while True:
@@ -66,7 +68,8 @@
             return
         await self._follow_platform()
         if self._failures and not is_follower:
-            # The platform is out: what the peers know is better than nothing.
+            # The platform is unreachable: a peer's configuration may be older, but
+            # lets this gateway serve.
             await self._follow_any_peer()
 
     async def _follow_any_peer(self) -> bool:
@@ -90,7 +93,10 @@
         return known or list(self._seeds)
 
     async def _follow(self, address: str) -> bool:
-        """Follow a peer; tell whether it has ever sent anything."""
+        """Follow a peer until it fails; return whether it sent anything.
+
+        Also stop if this gateway becomes a relay, once the peer has sent a batch.
+        """
         closed = trio.Event()
         heard: list[float] = []
         receiver = BatchReceiver(self._view)
@@ -155,7 +161,8 @@
         metrics.CONFIG_REVISION.set(self._view.complete_to)
 
     async def _box_loop(self) -> None:
-        # Only relays ask; the others hear the list from them.
+        # Only relays read the list from the platform and send it to their followers;
+        # another gateway reads it while it has none.
         while True:
             if self._relaying or not self._directory.boxes:
                 try:
--- a/src/piershore/gateway/config_spread.py
+++ b/src/piershore/gateway/config_spread.py
@@ -1,4 +1,4 @@
-"""Spreading the configuration to this gateway's followers and agents."""
+"""Distribution of the configuration to this gateway's followers and agents."""
 
 from __future__ import annotations
 
@@ -25,7 +25,11 @@
 
 
 class ConfigSpread(PeerHandler):
-    """Sends changes on as they come, batched by `PERIOD_SECONDS`."""
+    """Sends configuration changes to the followers and agents of this gateway.
+
+    Changes are sent in one batch every `BATCH_PERIOD_SECONDS`. Followers get a batch
+    at least every `KEEPALIVE_PERIODS`, so that they notice a relay that has failed.
+    """
 
     def __init__(
         self,
@@ -45,7 +49,7 @@
         directory.listen(self._boxes_changed)
 
     async def run(self) -> None:
-        """Send changes on until cancelled."""
+        """Send changes until cancelled."""
         rounds = 0
         while True:
             await trio.sleep(PERIOD_SECONDS)
@@ -56,13 +60,16 @@
                 self._send(follower, is_due=rounds % KEEPALIVE_PERIODS == 0)
 
     def leave(self) -> None:
-        """Report this gateway as leaving."""
+        """Report this gateway as leaving from now on."""
         self._leaving = True
 
     def follower_joined(
         self, request: FollowRequest, batches: FrameQueue[ConfigBatch]
     ) -> None:
-        """Send a follower what it lacks, and all changes from now on."""
+        """Send a follower the changes that it lacks, and all later ones.
+
+        Close its queue if this gateway has no complete configuration yet.
+        """
         if not self._view.complete_to:
             batches.close()
             return
@@ -70,11 +77,11 @@
         self._send(batches, is_due=True, with_boxes=True)
 
     def follower_left(self, batches: FrameQueue[ConfigBatch]) -> None:
-        """Take note that a follower is gone."""
+        """Stop sending to a follower that has disconnected."""
         self._followers.pop(batches, None)
 
     def offered(self, batch: ConfigBatch) -> None:
-        """Take over an edit that another gateway has just had accepted."""
+        """Apply an edit that was accepted at another gateway."""
         apply_changes(self._view, batch)
 
     def report(self) -> ReportReply:
--- a/src/piershore/gateway/daemon.py
+++ b/src/piershore/gateway/daemon.py
@@ -54,7 +54,7 @@
 
 
 class GatewayDaemon:
-    """Serves callers and operators until it is told to stop."""
+    """Serves callers and operators until the process is asked to stop."""
 
     def __init__(self, name: str, settings: GatewaySettings) -> None:
         self._name = name
@@ -109,7 +109,7 @@
         await self.close()
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Start the links, the configuration and the peers' service."""
+        """Start the agent links, the configuration's tasks and the server for peers."""
         self._peers.start()
         nursery.start_soon(self._source.run)
         nursery.start_soon(self._links.run)
@@ -119,7 +119,7 @@
         state_changed("gateway_started", gateway=self._name)
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the server for peers and the connection to the platform."""
         await trio.to_thread.run_sync(self._peers.close)
         await self._store.close()
         state_changed("gateway_stopped", gateway=self._name)
@@ -133,8 +133,8 @@
         )
 
     async def _leave(self) -> None:
-        # The balancer sees that this gateway isn't ready before it stops
-        # accepting connections.
+        # The load balancer has to observe that this gateway isn't ready before the
+        # gateway stops accepting connections.
         self._leaving = True
         self._spread.leave()
         state_changed("gateway_leaving", gateway=self._name)
@@ -242,5 +242,8 @@
         self._limiter.set_share(1 / self._count_gateways())
 
     def _count_gateways(self) -> int:
-        """Return how many gateways live; its own entry may not be listed yet."""
+        """Return the number of live gateways, at least 1.
+
+        This gateway's own entry may not be in the list yet.
+        """
         return max(1, len(self._directory.gateways()))
--- a/src/piershore/gateway/edit_offers.py
+++ b/src/piershore/gateway/edit_offers.py
@@ -1,7 +1,7 @@
-"""Handing accepted edits to the relays of all data halls.
+"""Sending of accepted edits to the relays of all data halls.
 
-Without this an edit that was accepted just before an outage of the platform would
-wait for the end of it: the relays' watches are the only other way.
+The relays otherwise get an edit only from their watches of the platform: an edit that
+was accepted just before an outage of the platform would come into force only after it.
 """
 
 from __future__ import annotations
@@ -25,7 +25,10 @@
 
 
 class EditOffers:
-    """Offers each accepted edit to every relay, again if one doesn't answer."""
+    """Offers each accepted edit to every relay; retries until the relay accepts it.
+
+    After `MAX_ATTEMPTS` a relay gets the edit only from its own watch.
+    """
 
     def __init__(self, gateway: str, directory: BoxDirectory) -> None:
         self._gateway = gateway
@@ -33,11 +36,11 @@
         self._sender, self._receiver = trio.open_memory_channel[StoredObject](inf)
 
     def offer(self, change: StoredObject) -> None:
-        """Queue an accepted edit."""
+        """Queue an accepted edit for all relays; never blocks."""
         self._sender.send_nowait(change)
 
     async def run(self) -> None:
-        """Hand edits over until cancelled."""
+        """Send queued edits until cancelled."""
         limiter = trio.CapacityLimiter(PARALLEL_CALLS)
         async with trio.open_nursery() as nursery:
             async for change in self._receiver:
--- a/src/piershore/gateway/edit_restorer.py
+++ b/src/piershore/gateway/edit_restorer.py
@@ -1,4 +1,4 @@
-"""Accepted edits that the store has lost, written again."""
+"""Restoration of accepted edits that a store restored from an older copy has lost."""
 
 from __future__ import annotations
 
@@ -20,20 +20,22 @@
 
 PERIOD_SECONDS = 0.1
 OTHERS_EDITS_SECONDS = (0.3, 1.5)
-"""A gateway writes again at once what it had accepted itself, and the edits of others,
-whose gateway may be gone, only if nobody has in this time: each is written once, and
-not by all gateways that read the store."""
+"""Range of the delay before an edit that another gateway accepted is written again. The
+gateway that accepted it writes it at once, but may have failed. The delay is random, so
+that the edit is written once, and not by all gateways that read the store."""
 AGAIN_SECONDS = (0.2, 0.6)
 SETTLE_SECONDS = 3.0
-"""In this time all gateways that reach the store have read it since it came back: only
-then does what is missing in it mean that it was deleted."""
+"""Within this time after the store was restored from an older copy, all gateways that
+reach the store have read it. Until then a missing object may be a lost one; afterwards
+it was deleted."""
 
 
 class EditRestorer:
-    """Compares what is in force with a store that came back from an older copy.
+    """Writes accepted edits again after the store was restored from an older copy.
 
-    An edit that was accepted stays in force where it is known; without this a gateway
-    that starts, or a later edit of the same object, would take it back.
+    An accepted edit stays in force at the gateways that know it. If it weren't written
+    again, a gateway that starts or a later edit of the same object would revert it.
+    `written` is called with each object that was written again.
     """
 
     def __init__(
@@ -58,11 +60,11 @@
 
     @property
     def seconds_to_settle(self) -> float:
-        """How long nothing may be deleted yet, since the store has come back."""
+        """Seconds until objects may be deleted again after the store was restored."""
         return max(0.0, self._risen_at + SETTLE_SECONDS - trio.current_time())
 
     def note_accepted(self, change: StoredObject) -> None:
-        """Take note that this gateway has told an operator that an edit is accepted."""
+        """Record that this gateway has reported an edit as accepted to an operator."""
         self._accepted.add(change.name)
 
     async def run(self) -> None:
@@ -99,7 +101,7 @@
             )
 
     def _due(self, now: float) -> Iterator[ObjectName]:
-        """Yield what is to be compared with the store now."""
+        """Yield the names of the objects to compare with the store now."""
         era = self._reached.era
         own = {n for n in self._accepted if self._recent.may_be_lost(n, era)}
         wanted = own | self._view.unconfirmed
@@ -149,10 +151,10 @@
         )
 
     async def _write_as_new(self, current: StoredObject) -> None:
-        """Give the store's contents a version of their own.
+        """Write the store's contents under a new version.
 
-        Two writes got the same number, before and after the return: the store's is the
-        later one.
+        Two writes got the same version, one before the store was restored and one
+        after: the store has the later one.
         """
         written = await settled_put(
             self._store, current.name, current.value, current.version, uuid4().hex
--- a/src/piershore/gateway/exceptions.py
+++ b/src/piershore/gateway/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors that end a caller's request."""
+"""Errors that end a request."""
 
 from __future__ import annotations
 
@@ -8,9 +8,11 @@
 
 
 class RequestRefusedError(PiershoreError):
-    """The request gets this final answer; `retry_after` is in seconds.
+    """The request is refused with this final answer.
 
-    `from_owner` says that the owner of the request's key decided the outcome.
+    `retry_after` is in seconds. `findings` lists the problems found in an edit or a
+    body. `from_owner` means that the owner of the request's key has determined the
+    outcome.
     """
 
     def __init__(
@@ -32,12 +34,15 @@
 
     @property
     def code(self) -> str:
-        """The reason as the stable code."""
+        """The reason as a stable error code."""
         return self.reason.value
 
 
 class LinkLostError(PiershoreError):
-    """The link to the agent is gone; `was_sent` tells if the request left."""
+    """The link to the agent was lost.
+
+    `was_sent` is true if the request may have been sent before.
+    """
 
     code = "link_lost"
 
--- a/src/piershore/gateway/fleet_reports.py
+++ b/src/piershore/gateway/fleet_reports.py
@@ -1,4 +1,4 @@
-"""What all boxes report, gathered when an operator asks."""
+"""Status reports of all boxes, gathered on an operator's request."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Rollout:
-    """In how many boxes a version is in force; `silent` ones did not report."""
+    """On how many boxes a version is in force; `silent` boxes did not report."""
 
     version: int
     boxes: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class BoxStatus:
-    """One box as it reported, or as silent."""
+    """Status of one box: as it reported, or with the state `silent`."""
 
     box: str
     role: str
@@ -41,12 +41,12 @@
     applied_beyond: tuple[int, ...] = ()
 
     def has_in_force(self, version: int) -> bool:
-        """Tell whether a version of some object is in force on the box."""
+        """Return whether a version of some object is in force on the box."""
         return version <= self.complete_to or version in self.applied_beyond
 
 
 class FleetReports:
-    """Asks the other gateways; each answers for itself and its agents."""
+    """Gathers reports from all gateways; each reports for itself and its agents."""
 
     def __init__(
         self, gateway: str, spread: ConfigSpread, directory: BoxDirectory
@@ -56,7 +56,7 @@
         self._directory = directory
 
     async def statuses(self) -> list[BoxStatus]:
-        """Return all boxes, by name."""
+        """Return the status of all boxes, sorted by role and name."""
         reports = await self._gather()
         statuses = [_status(report) for report in reports.values()]
         for box in self._directory.boxes:
@@ -66,7 +66,7 @@
         return sorted(statuses, key=lambda status: (status.role, status.box))
 
     async def rollout(self, version: int) -> Rollout:
-        """Return how far `version` has come."""
+        """Return on which boxes `version` is in force."""
         statuses = await self.statuses()
         reporting = [s for s in statuses if s.state != "silent"]
         lagging = tuple(s.box for s in reporting if not s.has_in_force(version))
@@ -118,5 +118,5 @@
 
 
 def as_plain(value: Rollout | BoxStatus) -> dict[str, object]:
-    """Return a report as plain data for JSON."""
+    """Return a report as a dict that can be serialised as JSON."""
     return asdict(value)
--- a/src/piershore/gateway/in_flight.py
+++ b/src/piershore/gateway/in_flight.py
@@ -1,4 +1,4 @@
-"""Counting of the requests in progress, so that a stop can wait for them."""
+"""Count of the requests in progress, for a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class InFlightRequests:
-    """Wraps the HTTP application; a request counts until all of it is sent.
+    """ASGI middleware that counts a request until its whole response is sent.
 
-    The server itself would also wait for idle connections, which callers may
-    keep open for long.
+    Waiting for the server to close its connections would include idle ones, which
+    callers may keep open for a long time.
     """
 
     def __init__(self, app: AsgiCallable) -> None:
--- a/src/piershore/gateway/problem.py
+++ b/src/piershore/gateway/problem.py
@@ -1,4 +1,4 @@
-"""Errors as problem details (RFC 9457)."""
+"""HTTP error responses with problem details (RFC 9457)."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
     RefusalReason.VERSION_CONFLICT: 412,
     RefusalReason.INTERNAL_ERROR: 500,
 }
-"""HTTP status of each reason; the others are 503, to be tried again."""
+"""HTTP status by reason. The other reasons have status 503: a retry may succeed."""
 
 
 def problem_body(error: RequestRefusedError) -> dict[str, object]:
-    """Return the members of the problem details."""
+    """Return the problem details of a refused request."""
     body: dict[str, object] = {
         "type": f"urn:piershore:{error.reason}",
         "title": error.reason.replace("_", " "),
@@ -68,7 +68,7 @@
 
 
 def problem_response(error: RequestRefusedError) -> Response:
-    """Return the HTTP answer for a refused request."""
+    """Return the HTTP response for a refused request."""
     body = problem_body(error)
     response = Response(
         orjson.dumps(body), status=body["status"], content_type=CONTENT_TYPE
