--- a/features/own_store_returns.feature
+++ b/features/own_store_returns.feature
@@ -1,17 +1,17 @@
 @own_store_returns
-Feature: The product's own interface before a store that comes back from an older copy
+Feature: Accepted edits survive a restore of the platform's store from an older copy
 
-  # What was accepted was only in the store and in the gateways' views. After the return
-  # the views went on with numbers that the store gives out again: an edit after it was
-  # taken for an old one, and the lost one was in force at gateways that had seen it and
-  # nowhere else.
-  Scenario Outline: <edit>, and the store loses that
+  # Accepted edits were only in the store and in the gateways' views. After a restore,
+  # the store issued version numbers again that the views had already applied: a new
+  # edit was ignored as an old one, and a lost edit was in force only at the gateways
+  # that had received it.
+  Scenario Outline: The store loses an edit when <edit>
     Given a running deployment
-    And every box's version is watched
-    When <edit> and the store comes back from a copy of before
-    Then the edit stays in force at both gateways and is in the store again
+    And the configuration version of every box is recorded
+    When <edit> and the store is restored from an older copy
+    Then the edit stays in force at both gateways and is written to the store again
     And the next edit is in force at both gateways
-    And no box ever went back to an older version
+    And no box reverted to an older version
 
     Examples:
       | edit                        |
@@ -20,37 +20,37 @@
       | an account is deleted       |
       | an account's key is changed |
 
-  Scenario: an agent comes when the store's revisions have gone back far
+  Scenario: An agent starts after the store's revision dropped by 120
     Given a running deployment
-    When 120 edits are lost by the store's return
-    Then both gateways find an agent that is new
+    When 120 edits are lost when the store is restored from an older copy
+    Then both gateways discover a new agent
 
-  Scenario: an operator edits what the store has lost
+  Scenario: An operator edits an object whose newest version the store lost
     Given a running deployment
-    When an account is changed and the store comes back from a copy of before
-    Then an edit of the version that was accepted is refused for a moment or accepted
-    And it is in force at both gateways in the end
+    When an account is changed and the store is restored from an older copy
+    Then an edit of the accepted version is accepted or refused temporarily
+    And the new edit comes into force at both gateways
 
-  # An agent that is back took its predecessor's mint times by the copy, while the one
-  # that had taken them since was alive and had run some.
-  Scenario: mint times that another agent took since the copy
+  # A restarted agent owned its predecessor's mint times according to the copy, while
+  # the agent that had taken them over since was alive and had run some of their keys.
+  Scenario: Another agent took over mint times after the copy was made
     Given a running deployment
-    When order-1 dies, order-2 takes its mint times and runs keys of them
-    And the store comes back from a copy of before, and order-1 is there again
-    Then none of the keys is run again by order-1
+    When order-1 is killed, and order-2 takes over its mint times and runs keys of them
+    And the store is restored from an older copy and order-1 restarts
+    Then order-1 runs none of the keys again
     And 20 calls without a key each run once
-    And callers' own keys run again in the end, each once
+    And keys that callers mint run again after a while, each once
 
-  Scenario: any sequence of edits and returns, with gateways cut off
-    Then in 40 random histories of edits and returns nothing accepted is lost
+  Scenario: Random edits, restores and network partitions of gateways
+    Then in 40 random histories of edits and restores no edit is lost
 
-  Scenario: a deletion while a gateway hasn't read the store since its return
-    Then what is deleted just after a return isn't written again by one that was cut off
+  Scenario: A deletion while a gateway hasn't read the restored store
+    Then an object deleted right after a restore isn't restored by another gateway
 
-  Scenario: an endpoint whose last announcement was lost is drained
-    Then an endpoint that is drained just after a return isn't the one of the copy
+  Scenario: An endpoint is drained whose last announcement was lost
+    Then draining an endpoint right after a restore keeps its newest announcement
 
-  # A gateway that hadn't heard of the return wrote, and ended: the same version stood for
-  # two contents.
-  Scenario: a write after the return gets the number of a lost one
-    Then of two writes that got one number the store's is in force everywhere
+  # A gateway that didn't know of the restore wrote an object and ended before it got
+  # the answer: one version had two contents.
+  Scenario: A write after a restore gets the version of a lost write
+    Then of two writes with the same version the store's is in force everywhere
--- a/features/steps/api_steps.py
+++ b/features/steps/api_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the HTTP API's answers and the verbs."""
+"""Steps for the answers of the HTTP API and for the commands."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     "malformed JSON": (b'{"model": ', {}),
     "an empty body": (b"", {}),
     "an empty object": (b"{}", {}),
-    "bytes that are no text": (b"\xff\xfe\x00{", {}),
+    "bytes that aren't UTF-8": (b"\xff\xfe\x00{", {}),
     "a list instead of an object": (b"[]", {}),
     "an unknown field": (chat(colour="red"), {}),
     "a wrong type": (chat(stream="yes"), {}),
@@ -51,11 +51,14 @@
     ),
     "headers of 20 KB": (chat(), {"X-Filler": "x" * 20_000}),
     "a malformed Last-Event-ID": (chat(stream=True), {"Last-Event-ID": "a/b"}),
-    "a Last-Event-ID of nobody": (chat(stream=True), {"Last-Event-ID": "a/b/c/3"}),
+    "a Last-Event-ID of an unknown agent": (
+        chat(stream=True),
+        {"Last-Event-ID": "a/b/c/3"},
+    ),
 }
 
 
-@then("these requests are answered so")
+@then("the requests are answered as follows")
 def check_requests(context):
     world = context.world
     faults = []
@@ -81,8 +84,8 @@
 ACCOUNT = {"template": "prototyping-shop", "services": []}
 HOURS = {"time_zone": "Mars/Olympus", "start": "08:00", "end": "09:00"}
 EDITS = {
-    "a change without If-Match": ("PATCH", "accounts/yaba", {}, {}),
-    "a change of an old version": ("PATCH", "accounts/yaba", {}, {"If-Match": '"1"'}),
+    "a patch without If-Match": ("PATCH", "accounts/yaba", {}, {}),
+    "a patch of an old version": ("PATCH", "accounts/yaba", {}, {"If-Match": '"1"'}),
     "an account with an unknown template": (
         "PUT",
         "accounts/new",
@@ -113,14 +116,19 @@
         None,
         {"If-Match": '"2"'},
     ),
-    "a deletion of nothing": ("DELETE", "accounts/nobody", None, {"If-Match": '"2"'}),
+    "a deletion of a missing object": (
+        "DELETE",
+        "accounts/nobody",
+        None,
+        {"If-Match": '"2"'},
+    ),
     "an unknown collection": ("GET", "ships/one", None, {}),
-    "a rollout of no number": ("GET", "rollout/x", None, {}),
-    "a call with an account's key": ("GET", "accounts", None, KEY),
+    "a rollout of a non-numeric version": ("GET", "rollout/x", None, {}),
+    "a request with an account's key": ("GET", "accounts", None, KEY),
 }
 
 
-@then("these edits are answered so")
+@then("the edits are answered as follows")
 def check_edits(context):
     faults = []
     for row in context.table:
@@ -134,7 +142,7 @@
     assert not faults, faults
 
 
-@then("these commands end so")
+@then("the commands exit as follows")
 def check_commands(context):
     world = context.world
     environment = {
@@ -157,7 +165,7 @@
     assert not faults, faults
 
 
-@when("a call is refused for its kind")
+@when("a call is refused for its unknown kind")
 def refuse_kind(context):
     assert context.world.caller().call(SERVICE, "nothing").code == "unknown_kind"
 
--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -1,4 +1,4 @@
-"""Steps on configuration that operators edit."""
+"""Steps for configuration that operators edit."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return world.deployment.admin(gateway, "PATCH", path, changes, {"If-Match": etag})
 
 
-@given("every box's version is watched")
+@given("the configuration version of every box is recorded")
 def watch_versions(context):
     world = context.world
     world.values["back"] = []
@@ -41,7 +41,7 @@
                     note(box)
 
     def note(box):
-        # A box that was started anew begins with nothing, so it isn't judged.
+        # A restarted box begins without a configuration, so it isn't checked.
         name, version = box["box"], box["complete_to"]
         if box["state"] != "live" or name in world.values.get("restarted", ()):
             return
@@ -71,7 +71,7 @@
 
 
 def outage_after(world):
-    # Out at the very moment of acceptance: no watch has told of the edit.
+    # The outage begins as the edit is accepted: no watch delivers it.
     world.deployment.set_faults(outage_after_write=True)
     return edit(world, 77)
 
@@ -89,7 +89,7 @@
     process = world.deployment.process("gateway-2")
     process.freeze()
     answer = edit(world, 77)
-    wait_until(lambda: in_force(world, answer, silent_allowed=1), "the others")
+    wait_until(lambda: in_force(world, answer, silent_allowed=1), "the other boxes")
     process.thaw()
     return answer
 
@@ -107,18 +107,18 @@
 
 
 FAULTS = {
-    "all is well": nothing,
+    "nothing fails": nothing,
     "the answer to the write is lost": lose_answer,
-    "the watch loses a change": lose_change,
+    "the watch drops a change": lose_change,
     "the platform's reads are stale": stale_reads,
-    "the platform goes out after acceptance": outage_after,
-    "a relay is killed": kill_relay,
-    "a relay is frozen and woken with old state": freeze_relay,
-    "an agent is replaced": replace_agent,
+    "the platform becomes unavailable after the write": outage_after,
+    "a relay is killed and restarted": kill_relay,
+    "a relay is suspended and resumes with old state": freeze_relay,
+    "an agent is killed and restarted": replace_agent,
 }
 
 
-@when("an account is edited while the platform is out")
+@when("an account is edited during a platform outage")
 def edit_without_platform(context):
     world = context.world
     world.values["before"] = read(world).json()
@@ -128,7 +128,7 @@
     world.deployment.set_faults(outage=False)
 
 
-@when("an account is edited, the answer is lost and the platform goes out")
+@when("an account is edited, the answer is lost and a platform outage begins")
 def edit_into_outage(context):
     world = context.world
     etag = read(world).headers["ETag"]
@@ -137,7 +137,7 @@
     world.deployment.set_faults(outage=False, outage_after_write=False)
 
 
-@then("the edit is refused with outcome unknown, and is in force in the end")
+@then("the edit is refused with outcome unknown and comes into force later")
 def check_unknown_edit(context):
     world = context.world
     answer = world.values["answer"]
@@ -191,7 +191,7 @@
     assert read(world).json()["version"] == answer.json()["version"]
 
 
-@then("no box ever went back to an older version")
+@then("no box reverted to an older version")
 def check_never_back(context):
     context.world.values["stop"].set()
     assert not context.world.values["back"], context.world.values["back"]
@@ -210,7 +210,7 @@
         world.values["rounds"].append([future.result(30) for future in futures])
 
 
-@then("each time one edit is accepted and the other gets 412 with the difference")
+@then("each time one edit is accepted and the other gets 412 with the differences")
 def check_race(context):
     for answers in context.world.values["rounds"]:
         assert sorted(a.status_code for a in answers) == [200, 412], answers
@@ -222,7 +222,7 @@
         assert "$.overrides.concurrent_requests" in paths, body
 
 
-@then("the account holds exactly the accepted edits")
+@then("the account has exactly the last accepted edit")
 def check_last(context):
     world = context.world
     last = world.values["rounds"][-1]
@@ -230,7 +230,7 @@
     assert read(world).json()["spec"] == winner.json()["spec"]
 
 
-@when("an account is deleted and created again with another key")
+@when("an account is deleted and recreated with another key")
 def recreate(context):
     world = context.world
     current = read(world)
@@ -257,7 +257,7 @@
             assert answer.status_code == status, (gateway, key, answer.text)
 
 
-@when("the platform goes out and a gateway is replaced")
+@when("both gateways are killed and one restarts during a platform outage")
 def replace_in_outage(context):
     world = context.world
     world.deployment.process("gateway-1").kill()
@@ -266,7 +266,7 @@
     world.deployment.start_gateway("gateway-1", GATEWAYS["gateway-1"])
 
 
-@then("the new gateway is not ready and refuses as not run")
+@then("the new gateway is not ready and refuses requests with outcome not_run")
 def check_not_ready(context):
     world = context.world
     client, url = world.deployment.client, world.deployment.url("gateway-1")
@@ -277,12 +277,12 @@
     assert not world.tags()["early"]
 
 
-@when("the platform is back")
+@when("the platform outage ends")
 def end_outage(context):
     context.world.deployment.set_faults(outage=False)
 
 
-@then("the new gateway serves again")
+@then("the new gateway serves requests")
 def check_serves(context):
     world = context.world
     world.deployment.wait_ready("gateway-1")
@@ -335,7 +335,7 @@
     wait_until(complete, "all boxes")
 
 
-@when("the platform goes out and a gateway that knows its peer is replaced")
+@when("a gateway that knows its peer restarts during a platform outage")
 def replace_with_peer(context):
     world = context.world
     peer = world.deployment.peer_address("gateway-2")
@@ -344,7 +344,7 @@
     world.deployment.start_gateway("gateway-1", GATEWAYS["gateway-1"], peers=[peer])
 
 
-@then("an answer given during the outage is whole at both gateways")
+@then("both gateways complete a generation during the outage")
 def check_answers(context):
     world = context.world
     for gateway in GATEWAYS:
--- a/features/steps/own_return_history_steps.py
+++ b/features/steps/own_return_history_steps.py
@@ -1,4 +1,4 @@
-"""Random histories of edits and of a store's returns, in virtual time."""
+"""Steps for random histories of edits and restores of the store, in virtual time."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 STEPS = 60
 OFFERED_SHARE = 0.7
 QUIET_SECONDS = 12.0
-"""After the last fault; lost edits are written again within some 2 s."""
+"""Time after the last fault. Lost edits are written again within some 2 s."""
 
 
 class OwnGateway:
-    """The parts of a gateway that hold and change the configuration."""
+    """The components of a gateway that keep, edit and restore the configuration."""
 
     def __init__(self, world, number):
         self.world = world
@@ -56,7 +56,7 @@
         self.offer(change)
 
     def offer(self, change):
-        """Tell the others, as far as they can be reached."""
+        """Send a change to the other gateways that are reachable; some are lost."""
         for other in self.world.gateways:
             is_cut = self.store.is_cut or other.store.is_cut
             is_lost = self.world.random.random() > OFFERED_SHARE
@@ -78,7 +78,7 @@
 
 
 class EditHistory:
-    """Gateways that edit four objects while the store comes back again and again."""
+    """Gateways that edit four objects while the store is restored repeatedly."""
 
     def __init__(self, seed):
         self.random = Random(seed)
@@ -130,7 +130,7 @@
             self.uncertain[name].clear()
 
     async def drill(self):
-        """Come back from a copy of some seconds ago, now and then with cuts."""
+        """Restore the store from a recent copy, sometimes with a gateway cut off."""
         self.is_drilling = True
         copy = self.store.copy()
         cut = self.random.choice([*self.gateways, None, None])
@@ -161,7 +161,7 @@
 
 
 class AfterReturn(EditHistory):
-    """Gateways that tell each other nothing, just after a return."""
+    """Gateways that don't receive each other's edits, right after a restore."""
 
     def __init__(self, seed=1):
         super().__init__(seed)
@@ -179,7 +179,7 @@
             nursery.cancel_scope.cancel()
 
     async def come_back(self, copy):
-        """Come back while the other gateways are cut off for longer than a second."""
+        """Restore the store while the other gateways are cut off for over a second."""
         self.cut(True)
         self.store.restore_from(copy)
         await trio.sleep(1.0)
@@ -189,7 +189,7 @@
             gateway.store.is_cut = is_cut
 
     async def insist(self, edit, *arguments):
-        """Edit, and come again when that is refused for a moment."""
+        """Edit, and retry while the edit is refused temporarily."""
         with trio.fail_after(QUIET_SECONDS):
             while True:
                 try:
@@ -201,7 +201,7 @@
                     await trio.sleep(error.retry_after)
 
 
-@then("what is deleted just after a return isn't written again by one that was cut off")
+@then("an object deleted right after a restore isn't restored by another gateway")
 def check_deleted(context):
     history = AfterReturn()
     name = NAMES[0]
@@ -218,11 +218,11 @@
 
     trio.run(history.run, script, clock=MockClock(autojump_threshold=0))
     written = [change.value for _, change in history.store.events]
-    assert written == [None], "it was there again for a time"
+    assert written == [None], "the deleted object was written again"
     assert not any(g.view.snapshot().objects for g in history.gateways)
 
 
-@then("an endpoint that is drained just after a return isn't the one of the copy")
+@then("draining an endpoint right after a restore keeps its newest announcement")
 def check_drained(context):
     history = AfterReturn()
     name = ObjectName(ObjectKind.ENDPOINT, "order-1")
@@ -246,7 +246,7 @@
         assert (status.incarnation, status.drain) == ("two", True), status
 
 
-@then("of two writes that got one number the store's is in force everywhere")
+@then("of two writes with the same version the store's is in force everywhere")
 def check_one_number(context):
     history = AfterReturn()
     name = NAMES[0]
@@ -257,7 +257,7 @@
         lost = await put(name, {"parameters": {"concurrent_requests": 1}}, 0)
         await trio.sleep(1.0)
         history.store.restore_from(copy)
-        # From one who hadn't heard of the return, and ended before he had the answer.
+        # A gateway that doesn't know of the restore writes, and ends before the answer.
         later = lost.value.replace(b":1,", b":2,")
         again = history.store.write(name, later, 0, ("w",), 0)
         assert again.version == lost.version and again.value != lost.value
@@ -272,11 +272,11 @@
     return orjson.loads(stored.value)["parameters"]["concurrent_requests"]
 
 
-@then("in {histories:d} random histories of edits and returns nothing accepted is lost")
+@then("in {histories:d} random histories of edits and restores no edit is lost")
 def check_edit_histories(context, histories):
     lost = 0
     for seed in range(histories):
         history = EditHistory(seed)
         trio.run(history.run, clock=MockClock(autojump_threshold=0))
         lost += history.lost
-    assert lost > histories, "hardly anything was lost, so nothing was shown"
+    assert lost > histories, "too few edits were lost for the check to be meaningful"
--- a/features/steps/own_store_return_steps.py
+++ b/features/steps/own_store_return_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a store that comes back from an older copy, before the own interface."""
+"""Steps for edits and keys when the store is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 def listed(world, gateway, collection="accounts"):
-    """Return what a gateway has in force, by name."""
+    """Return the objects in force at a gateway, by name."""
     items = world.deployment.admin(gateway, "GET", collection).json()["items"]
     return {item["name"]: item["spec"] for item in items}
 
 
 def stored(world, kind, name):
-    """Return the value that the store holds, or None."""
+    """Return an object's value in the store, or None."""
     platform = world.deployment.url("platform")
     url = f"{platform}/objects/{CONFIGURATION_KIND}/{kind}:{name}"
     answer = world.deployment.client.get(url)
@@ -84,7 +84,7 @@
 
 
 def watch_view(world, is_right, name):
-    """Note in the background whenever a gateway has something else in force."""
+    """Record in the background whenever a gateway has another value in force."""
     world.values["wrong"] = []
     stop = world.values["stop_view"] = Event()
 
@@ -125,10 +125,10 @@
 
 
 for text, make_edit in EDITS.items():
-    when(f"{text} and the store comes back from a copy of before")(edit_step(make_edit))
+    when(f"{text} and the store is restored from an older copy")(edit_step(make_edit))
 
 
-@then("the edit stays in force at both gateways and is in the store again")
+@then("the edit stays in force at both gateways and is written to the store again")
 def check_stays(context):
     world = context.world
     name, is_right = world.values["name"], world.values["is_right"]
@@ -151,7 +151,7 @@
     wait_everywhere(world, lambda spec: limit_of(spec) == 55, "surulere", "it")
 
 
-@when("{count:d} edits are lost by the store's return")
+@when("{count:d} edits are lost when the store is restored from an older copy")
 def lose_edits(context, count):
     world = context.world
     world.deployment.keep_copy()
@@ -160,7 +160,7 @@
     world.deployment.come_back()
 
 
-@then("both gateways find an agent that is new")
+@then("both gateways discover a new agent")
 def check_new_agent(context):
     world = context.world
     world.deployment.start_engine("engine-3")
@@ -169,7 +169,7 @@
         world.deployment.wait_boxes(gateway, 7)
 
 
-@then("an edit of the version that was accepted is refused for a moment or accepted")
+@then("an edit of the accepted version is accepted or refused temporarily")
 def check_edit_of_lost(context):
     world = context.world
     etags = {"If-Match": world.values["version"]}
@@ -178,12 +178,12 @@
     if answer.status_code == 503:
         assert "Retry-After" in answer.headers
     else:
-        # The store has it again, under a newer version: that edit came after it.
+        # 412: the lost edit was written again, under a newer version.
         assert answer.status_code in (200, 412), answer.text
     world.values["stop_view"].set()
 
 
-@then("it is in force at both gateways in the end")
+@then("the new edit comes into force at both gateways")
 def check_edit_in_force(context):
     world = context.world
 
@@ -204,12 +204,12 @@
     assert all(executions[key] == 1 for key in world.values["keys"]), executions
 
 
-@when("order-1 dies, order-2 takes its mint times and runs keys of them")
+@when("order-1 is killed, and order-2 takes over its mint times and runs keys of them")
 def take_over(context):
     world = context.world
     world.deployment.keep_copy()
     world.deployment.process("order-1").kill()
-    wait_until(lambda: holds_all_slots(world, "order-2"), "the take-over")
+    wait_until(lambda: holds_all_slots(world, "order-2"), "the takeover")
     world.values["keys"] = [world.caller().mint_key(SERVICE) for _ in range(KEYS)]
     for key in world.values["keys"]:
         wait_until(
@@ -220,7 +220,7 @@
     world.deployment.process("order-2").freeze()
 
 
-@when("the store comes back from a copy of before, and order-1 is there again")
+@when("the store is restored from an older copy and order-1 restarts")
 def return_with_successor(context):
     world = context.world
     world.values["era"] = world.deployment.come_back()
@@ -229,14 +229,14 @@
 
 
 def slot_records(world):
-    """Return all records of leases that the store holds."""
+    """Return all records of slot leases in the store."""
     url = f"{world.deployment.url('platform')}/objects/{SLOT_KIND}"
     items = world.deployment.client.get(url).json()["items"]
     return [value_of(item) for item in items]
 
 
 def owns_some(world, endpoint):
-    """Tell whether an endpoint's present life owns a slot in some record."""
+    """Return whether the restarted endpoint owns a slot in a changed record."""
     boxes = world.deployment.admin("gateway-1", "GET", "status").json()["boxes"]
     if not any(box["box"] == endpoint and box["state"] == "live" for box in boxes):
         return False
@@ -249,7 +249,7 @@
     )
 
 
-@then("none of the keys is run again by order-1")
+@then("order-1 runs none of the keys again")
 def check_not_again(context):
     world = context.world
     deadline = time.monotonic() + SENT_AGAIN_SECONDS
@@ -264,7 +264,7 @@
         world.deployment.wait_links(gateway, AGENTS)
 
 
-@then("callers' own keys run again in the end, each once")
+@then("keys that callers mint run again after a while, each once")
 def check_own_keys(context):
     world = context.world
     random = Random(1)
