--- a/src/piershore/gateway/admission.py
+++ b/src/piershore/gateway/admission.py
@@ -1,4 +1,4 @@
-"""A request that counts against its account's limits."""
+"""Admission of a request within its account's limits."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class Admission:
-    """Counts until it is released; releasing it twice does no harm.
+    """Count a request against its account's limits until it is released.
 
-    It is also released when nothing refers to it any more: an answer whose caller
-    has gone before it began is never iterated, and so never ends either.
+    Releasing it twice is safe. It is also released by garbage collection: if the caller
+    disconnects before the answer begins, the answer is never iterated and its cleanup
+    never runs.
     """
 
     def __init__(self, limiter: AccountLimiter, account: str) -> None:
@@ -21,7 +22,7 @@
         self.release()
 
     def release(self) -> None:
-        """Stop counting."""
+        """Stop counting the request against the limits."""
         if not self._is_released:
             self._is_released = True
             self._limiter.release(self._account)
--- a/src/piershore/gateway/agent_link.py
+++ b/src/piershore/gateway/agent_link.py
@@ -1,4 +1,4 @@
-"""A gateway's link to one agent, kept up and shared by all requests."""
+"""A gateway's persistent link to one agent, shared by all requests."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class LinkRequest:
-    """One request's frames on a link; close it when done."""
+    """The frames of one request on a link; close it when the request is done."""
 
     def __init__(self, link: AgentLink, number: int) -> None:
         self._link = link
@@ -51,33 +51,37 @@
         return self._link
 
     def deliver(self, frame: object) -> None:
-        """Hand in a frame from the agent."""
+        """Queue a frame from the agent for `receive`."""
         self._sender.send_nowait(frame)
 
     def lose(self) -> None:
-        """Note that no frame will come any more."""
+        """Mark the link as lost, so that no more frames arrive."""
         self._sender.close()
 
     async def receive(self) -> object:
-        """Return the next frame; raise `LinkLostError` if the link is gone."""
+        """Return the next frame; raise `LinkLostError` if the link was lost."""
         try:
             return await self._receiver.receive()
         except trio.EndOfChannel:
             raise LinkLostError("the link was lost", was_sent=True) from None
 
     def send(self, **body: object) -> None:
-        """Send a frame of this request, if the link still stands."""
+        """Send a frame of this request if the link is still open."""
         self._link.send(GatewayFrame(**body))
 
     def close(self, *, cancel: bool, abandon: bool = False) -> None:
-        """Forget the request; `cancel` tells the agent that nobody reads it."""
+        """Remove the request from the link.
+
+        `cancel` tells the agent that the answer is no longer read. With `abandon`, the
+        agent doesn't keep the generation for a later resumption.
+        """
         if cancel:
             self.send(cancel=Cancel(request=self._number, abandon=abandon))
         self._link.forget(self)
 
 
 class AgentLink:
-    """Connects, reconnects and multiplexes; `state` is what routing sees."""
+    """Connect, reconnect and multiplex requests; `state` is the input to routing."""
 
     def __init__(
         self, gateway: str, endpoint: str, status: EndpointStatus, config: ConfigView
@@ -101,12 +105,12 @@
 
     @property
     def state(self) -> EndpointState:
-        """What routing sees of the endpoint."""
+        """State of the endpoint as used by routing."""
         return self._state
 
     @property
     def status(self) -> EndpointStatus:
-        """The endpoint as its agent announced it."""
+        """Status of the endpoint as announced by its agent."""
         return self._status
 
     @property
@@ -116,29 +120,29 @@
 
     @property
     def newest_incarnation(self) -> str:
-        """Incarnation that greeted last, else the announced one.
+        """Incarnation of the last hello frame, or else the announced one.
 
-        An agent that started during an outage of the platform isn't announced yet.
+        An agent that started during an outage of the platform is not announced yet.
         """
         return self._incarnation or self._status.incarnation
 
     @property
     def intervals(self) -> tuple[SlotInterval, ...]:
-        """Mint times that the agent said it may run."""
+        """Intervals of mint times whose keys the agent reported that it may run."""
         return self._intervals
 
     @property
     def complete_to(self) -> int:
-        """Configuration revision that the agent reported in force."""
+        """Configuration revision that the agent last reported as complete."""
         return self._complete_to
 
     @property
     def applied_beyond(self) -> frozenset[int]:
-        """Versions that the agent has in force beyond `complete_to`."""
+        """Versions after `complete_to` that the agent has already applied."""
         return self._applied_beyond
 
     async def run(self) -> None:
-        """Keep the link up until cancelled."""
+        """Keep the link connected until it is cancelled or retired."""
         backoff = FIRST_BACKOFF_SECONDS
         try:
             while not self._retired:
@@ -150,9 +154,10 @@
             self._disconnect()
 
     def follow(self, status: EndpointStatus) -> bool:
-        """Take a new announcement; tell whether this link leads to that process.
+        """Apply a new announcement; return whether it describes this link's process.
 
-        It may have found it first, by the address that it was opened again at.
+        The link may have connected to that process before the announcement, as a
+        restarted agent listens on the same address.
         """
         is_same_address = status.address == self._status.address
         known = {self._status.incarnation, self.incarnation}
@@ -162,7 +167,7 @@
         return True
 
     def retire(self) -> None:
-        """Take no new work; the link ends when the agent's process does.
+        """Send no new requests; the link ends when the agent's process does.
 
         A replaced agent finishes the streams that it still has.
         """
@@ -181,7 +186,7 @@
         return request
 
     def forget(self, request: LinkRequest) -> None:
-        """Drop a request that is over."""
+        """Remove a request that is closed."""
         self._requests.pop(request.number, None)
 
     def send(self, frame: GatewayFrame) -> None:
@@ -190,14 +195,14 @@
             self._client.send(frame)
 
     def config_changed(self) -> None:
-        """Send the agent what it lacks of the configuration."""
+        """Send the agent the configuration changes that it lacks."""
         if not self._state.is_open or not self._config.complete_to:
             return
         for batch in self._cursor.next_batches():
             self.send(GatewayFrame(config=batch))
 
     async def wait_open(self, seconds: float) -> bool:
-        """Wait until the link is open; tell whether it is."""
+        """Wait up to `seconds` until the link is open; return whether it is."""
         with trio.move_on_after(seconds):
             while not self._state.is_open:
                 await self._opened.wait()
@@ -216,14 +221,14 @@
         return was_open
 
     async def _wait_for_silence(self, closed: trio.Event) -> None:
-        """Wait until the link is closed, or nothing was heard for too long."""
+        """Wait until the link is closed or has been silent for too long."""
         while not closed.is_set():
             due = self._heard_at + SILENCE_SECONDS
             with trio.move_on_at(due):
                 await closed.wait()
             now = trio.current_time()
             if was_paused(due, now):
-                # Frames that came meanwhile are still to be read.
+                # Frames that arrived while the process was paused are still unread.
                 self._heard_at = now
             elif now >= self._heard_at + SILENCE_SECONDS:
                 return
@@ -266,7 +271,7 @@
     def _take_hello(self, frame: AgentFrame) -> None:
         hello = frame.hello
         if self._client is None or hello.endpoint != self._state.name:
-            # Another endpoint has this address now.
+            # The address now belongs to another endpoint.
             self._closed.set()
             return
         self._incarnation = hello.incarnation
@@ -274,9 +279,9 @@
         self._cursor = BatchCursor(self._config, hello.complete_to)
 
     def _open(self) -> None:
-        """Take requests, once the agent has told what it may run.
+        """Accept requests, once a heartbeat has reported the agent's intervals.
 
-        Before its first heartbeat it would seem to own no keys at all.
+        Before the first heartbeat the agent would seem to own no keys at all.
         """
         self._state.is_open = True
         self._opened.set()
--- a/src/piershore/gateway/agent_links.py
+++ b/src/piershore/gateway/agent_links.py
@@ -1,4 +1,4 @@
-"""All links of a gateway, following the announced endpoints."""
+"""All links of a gateway, kept in line with the announced endpoints."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class AgentLinks:
-    """Keeps links to the endpoints of the aperture and to those asked for.
+    """Keep links to the endpoints of the aperture and to endpoints used on demand.
 
-    A model service's aperture is bounded by `aperture`. Plain services are linked
-    to as a whole: any of their agents may own a caller's key.
+    `aperture` bounds the number of endpoints for each model service. For a plain
+    service, all endpoints are linked, since any of their agents may own a caller's key.
     """
 
     def __init__(
@@ -66,15 +66,15 @@
                 for link in self.all:
                     link.config_changed()
                 await self._changed.wait()
-                # Let the rest of a batch come in before it is sent on.
+                # Let the rest of a batch of changes arrive before it is forwarded.
                 await trio.sleep(0)
 
     def set_leaving_boxes(self, names: Collection[str]) -> None:
-        """Note which boxes the platform says are leaving."""
+        """Set the boxes that are leaving according to the platform."""
         self._leaving = frozenset(names)
 
     def find_or_open(self, endpoint: str, incarnation: str) -> AgentLink | None:
-        """Return the link to an agent's incarnation, opened now if need be."""
+        """Return the link to an agent's incarnation, opening it if necessary."""
         link = self.find(endpoint, incarnation)
         status = self._config.get(ObjectKind.ENDPOINT, endpoint)
         if link is not None or status is None or status.incarnation != incarnation:
@@ -86,7 +86,7 @@
         return self.find(endpoint, incarnation)
 
     def find(self, endpoint: str, incarnation: str) -> AgentLink | None:
-        """Return the link to an agent's incarnation, replaced ones too."""
+        """Return the link to an agent's incarnation, even a retired one."""
         for link in (*self._links.values(), *self._retired):
             process = (link.state.name, link.newest_incarnation)
             if process == (endpoint, incarnation):
@@ -100,13 +100,13 @@
                 yield link
 
     def intervals(self, service: str) -> Iterator[SlotInterval]:
-        """Yield the mint times that reachable agents of a service may run."""
+        """Yield the intervals of a service's agents that accept new requests."""
         for link in self.of_service(service):
             if self._is_able(link.state):
                 yield from link.intervals
 
     def all_intervals(self, service: str) -> Iterator[SlotInterval]:
-        """Yield the same for agents that are leaving, too."""
+        """Yield the intervals of a service's connected agents, even leaving ones."""
         for link in (*self._links.values(), *self._retired):
             if link.state.service == service and link.state.is_open:
                 yield from link.intervals
@@ -114,7 +114,7 @@
     def choose(
         self, service: str, prompt: str, excluded: Collection[str]
     ) -> AgentLink | None:
-        """Return the link for a new request, or None if no endpoint takes it."""
+        """Return the link for a new request, or None if no endpoint accepts it."""
         states = [
             link.state
             for link in self.of_service(service)
@@ -125,7 +125,11 @@
         return self._links[self._choice.choose(states, prompt).name]
 
     def rest_left(self, service: str) -> float | None:
-        """Return when the first endpoint has rested, if all that stay rest."""
+        """Return the seconds until the first backoff ends, if all endpoints back off.
+
+        Drained and leaving endpoints aren't considered. None means that an endpoint
+        accepts requests, or that there is none.
+        """
         now = trio.current_time()
         left = [
             link.state.rest.seconds_left(now)
--- a/src/piershore/gateway/call_service.py
+++ b/src/piershore/gateway/call_service.py
@@ -1,4 +1,4 @@
-"""Plain calls from the gateway's side: repeatable ones and those that aren't."""
+"""Repeatable and non-repeatable plain calls on the gateway's side."""
 
 from __future__ import annotations
 
@@ -26,12 +26,15 @@
 MILLISECONDS = 1_000
 
 CERTAIN_REASONS = frozenset({RefusalReason.ALREADY_RUN, RefusalReason.OUTCOME_UNKNOWN})
-"""Refusals whose outcome holds for a freshly minted key, too."""
+"""Refusals after which even a call with a freshly minted key may have run."""
 
 
 @dataclass(frozen=True)
 class CallOrder:
-    """One caller's plain call; `key` is None when the gateway is to mint it."""
+    """A caller's call of a plain service; without a `key` the gateway mints one.
+
+    `timeout` is in seconds.
+    """
 
     account: str
     service: str
@@ -44,14 +47,14 @@
 
 @dataclass(frozen=True)
 class CallAnswer:
-    """The service's answer, and the key under which it ran."""
+    """The service's answer, and the key that the call ran with."""
 
     answer: Answer
     key: str = ""
 
 
 class CallService:
-    """Serves plain calls over the links."""
+    """Run plain calls over the links."""
 
     def __init__(self, links: AgentLinks, retries: Retries) -> None:
         self._links = links
@@ -59,7 +62,7 @@
         self._random = Random()
 
     async def call(self, order: CallOrder) -> CallAnswer:
-        """Run one call; raise `RequestRefusedError` with its outcome."""
+        """Run one call; raise `RequestRefusedError` with the outcome if it fails."""
         if not order.non_repeatable:
             return await self._call_repeatable(order)
         if order.key is not None:
@@ -67,7 +70,7 @@
         return await self._call_with_minted_keys(order)
 
     def mint(self, service: str) -> MintedKey:
-        """Return a key that an owner reachable now may run."""
+        """Return a new key whose owner is reachable."""
         now = int(time.time() * MILLISECONDS)
         key = mint_key(self._links.intervals(service), now, self._random)
         if key is None:
@@ -93,7 +96,7 @@
             tries.failed(refusal)
 
     async def _call_with_key(self, order: CallOrder, key: MintedKey) -> CallAnswer:
-        # Only the owner of the key's mint time can say that it was not run.
+        # Only the owner of the key's mint time knows whether the call has run.
         known = intervals_for(key, self._links.all_intervals(order.service))
         held = next(known, None)
         link = held and self._links.find(
@@ -122,7 +125,10 @@
             tries.failed(refusal)
 
     def _certain(self, error: RequestRefusedError) -> RequestRefusedError:
-        """Return what a refusal means for a key that nobody else has seen."""
+        """Return `error` with the outcome that it has for a key just minted.
+
+        No earlier call can have used such a key.
+        """
         if isinstance(error, _ResentRefusedError) or error.reason in CERTAIN_REASONS:
             return error
         error.outcome = Outcome.NOT_RUN
@@ -147,7 +153,7 @@
     async def _ask_again(
         self, link: AgentLink, incarnation: str, order: CallOrder, key: MintedKey
     ) -> Answer:
-        """Send the key again to the same incarnation, which knows if it ran."""
+        """Resend the call to the same incarnation, which knows whether it has run."""
         if await link.wait_open(REATTACH_SECONDS) and link.incarnation == incarnation:
             metrics.RETRIES.labels(reason=RefusalReason.AGENT_LOST).inc()
             try:
@@ -155,7 +161,7 @@
             except LinkLostError:
                 pass
             except RequestRefusedError as error:
-                # The first sending may still arrive and run.
+                # The first attempt may still arrive and run.
                 raise _ResentRefusedError(
                     error.reason, error.message, Outcome.UNKNOWN
                 ) from error
@@ -201,4 +207,4 @@
 
 
 class _ResentRefusedError(RequestRefusedError):
-    """A refusal after a second sending, so the first may still be on its way."""
+    """A refusal of a call that was resent; the first attempt may still arrive."""
--- a/src/piershore/gateway/callers_api.py
+++ b/src/piershore/gateway/callers_api.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class CallersServices:
-    """What the callers' API works with."""
+    """Dependencies of the callers' API."""
 
     view: ConfigView
     reader: RequestReader
@@ -51,7 +51,7 @@
 
 
 class CallersApi:
-    """Handlers of the callers' API."""
+    """HTTP handlers of the callers' API."""
 
     def __init__(self, services: CallersServices) -> None:
         self._view = services.view
@@ -61,7 +61,7 @@
         self._calls = services.calls
 
     def blueprint(self) -> Blueprint:
-        """Return the routes."""
+        """Return the routes of the API."""
         routes = Blueprint("callers", __name__)
         routes.post("/v1/chat/completions")(self.chat)
         routes.post("/v1/call/<service>")(self.call)
@@ -69,7 +69,7 @@
         return routes
 
     async def chat(self) -> Response:
-        """Generate an answer, streamed or whole."""
+        """Generate an answer, as a stream or as one body."""
         account = self._reader.authenticate()
         body = await self._reader.read(ChatRequest)
         service = self._find_service(account, body.model, ServiceType.MODEL)
@@ -109,7 +109,7 @@
             raise
 
     async def mint_key(self, service: str) -> Response:
-        """Give a key under which a non-repeatable call can be sent."""
+        """Return a new key for a non-repeatable call."""
         account = self._reader.authenticate()
         self._find_service(account, service, ServiceType.PLAIN)
         return _json({"key": self._calls.mint(service).text})
@@ -145,7 +145,7 @@
     async def _stream(
         self, admission: Admission, model: str, source: AsyncIterator[ShownTokens]
     ) -> Response:
-        # The first tokens are awaited here, so that a refusal has its status.
+        # Wait for the first tokens, so that a refusal can still set the HTTP status.
         try:
             first = await anext(source)
         except StopAsyncIteration:
@@ -255,12 +255,12 @@
 
 
 def count_refusal(error: RequestRefusedError) -> None:
-    """Count a final refusal."""
+    """Count a final refusal in the metrics."""
     metrics.REFUSALS.labels(reason=error.reason, outcome=error.outcome).inc()
 
 
 def _outcome_for_key(reason: RefusalReason) -> Outcome:
-    # A key that can't be claimed can't have run under an earlier request.
+    # No request with an invalid key can have run.
     if reason is RefusalReason.INVALID_IDEMPOTENCY_KEY:
         return Outcome.NOT_RUN
     return Outcome.UNKNOWN
--- a/src/piershore/gateway/chat_request.py
+++ b/src/piershore/gateway/chat_request.py
@@ -1,4 +1,4 @@
-"""The body of `POST /v1/chat/completions`."""
+"""Bodies of `POST /v1/chat/completions` and `POST /v1/call/{service}`."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True)
 class ChatMetadata:
-    """What the caller says of the request; `kind` sets its priority."""
+    """Metadata given by the caller; `kind` selects the priority of the request."""
 
     kind: str = DEFAULT_KIND
 
 
 @dataclass(frozen=True)
 class ChatRequest:
-    """A generation request; `model` names a service.
+    """The body of `POST /v1/chat/completions`; `model` names a service.
 
-    `deadline_ms` bounds the wait for the first token.
+    `deadline_ms` bounds the time until the first token, in milliseconds.
     """
 
     model: str
@@ -56,18 +56,18 @@
 
     @property
     def prompt(self) -> str:
-        """The conversation as one text."""
+        """All messages of the conversation as one text."""
         return "\n".join(f"{m.role}: {m.content}" for m in self.messages)
 
     @property
     def longest_answer(self) -> int | None:
-        """The caller's bound on the answer, in tokens."""
+        """The maximum length of the answer in tokens, if the caller sets one."""
         return self.max_completion_tokens or self.max_tokens
 
 
 @dataclass(frozen=True)
 class CallRequest:
-    """The body of `POST /v1/call/{service}`; `arguments` go to the service."""
+    """The body of `POST /v1/call/{service}`; `arguments` are passed to the service."""
 
     kind: str
     arguments: dict[str, Any] = field(default_factory=dict)
--- a/src/piershore/gateway/generation_order.py
+++ b/src/piershore/gateway/generation_order.py
@@ -1,4 +1,4 @@
-"""A generation as the gateway asks for it."""
+"""A generation as requested by a caller, and the tokens returned to it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @dataclass(frozen=True)
 class GenerationOrder:
-    """One caller's request; `first_token_seconds` 0 sets no deadline."""
+    """One caller's request for a generation.
+
+    `first_token_timeout_seconds` bounds the time to the first token; 0 sets no limit.
+    """
 
     account: str
     service: str
@@ -21,14 +24,14 @@
 
     @property
     def content(self) -> str:
-        """What identifies the request when it comes again."""
+        """Digest that identifies the request when its caller retries it."""
         target = f"{self.service}/{self.kind}/{self.max_tokens}"
         return request_digest(self.account, target.encode(), self.prompt.encode())
 
 
 @dataclass(frozen=True)
 class ShownTokens:
-    """Tokens to be shown to the caller, and where the stream then stands."""
+    """Tokens for the caller, and the id from which the stream resumes after them."""
 
     tokens: tuple[str, ...]
     event_id: str
--- a/src/piershore/gateway/generation_service.py
+++ b/src/piershore/gateway/generation_service.py
@@ -1,4 +1,4 @@
-"""Generations from the gateway's side: tries, resumption, whole answers."""
+"""Generations on the gateway's side: attempts, resumption and complete answers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class GenerationService:
-    """Serves generations over the links; `timeout` is in seconds."""
+    """Run generations over the links; `timeout` in seconds bounds an answer."""
 
     def __init__(self, links: AgentLinks, retries: Retries, timeout: float) -> None:
         self._links = links
@@ -42,10 +42,10 @@
         self._quarantine = Quarantine()
 
     async def stream(self, order: GenerationOrder) -> AsyncIterator[ShownTokens]:
-        """Yield the tokens once, in order, from one generation.
+        """Yield each token once, in order, from one generation.
 
-        Before the first token another endpoint may be tried; after it, a lost
-        generation ends the stream with the error that says so.
+        A generation that fails before its first token may be retried at another
+        endpoint. After the first token, a failure ends the stream with an error.
         """
         self._check_held(order)
         tries = Tries(self._links, self._retries)
@@ -64,7 +64,7 @@
                 self._note_failed(tries, order, error)
 
     async def complete(self, order: GenerationOrder) -> tuple[str, ...]:
-        """Return all tokens of one whole generation."""
+        """Return all tokens of one complete generation."""
         self._check_held(order)
         tries = Tries(self._links, self._retries)
         while True:
@@ -81,7 +81,7 @@
     async def resume(
         self, account: str, event_id: EventId
     ) -> AsyncIterator[ShownTokens]:
-        """Yield the tokens of a running generation from the event id on."""
+        """Yield the tokens of a running generation that follow the event id."""
         link = self._links.find_or_open(event_id.endpoint, event_id.incarnation)
         if link is None or not await link.wait_open(REATTACH_SECONDS):
             raise RequestRefusedError(
@@ -97,9 +97,9 @@
                 yield shown
 
     def _check_held(self, order: GenerationOrder) -> None:
-        """Refuse at once a request under which engines have been lost.
+        """Refuse a request that is quarantined because engines crashed on it.
 
-        Each retry would take another engine away, with all that it generates.
+        Each retry could crash another engine, with all generations that run there.
         """
         seconds = self._quarantine.seconds_until_release(
             order.content, trio.current_time()
@@ -114,10 +114,10 @@
     def _note_failed(
         self, tries: Tries, order: GenerationOrder, error: RequestRefusedError
     ) -> None:
-        """Spend a retry, or raise `error` if there may be none."""
+        """Spend a retry; raise `error` if no further attempt is allowed."""
         now = trio.current_time()
         if error.reason is RefusalReason.ENGINE_LOST and not tries.is_last(error):
-            # An engine that is back keeps its agent's name.
+            # A restarted engine keeps its agent's name, and counts as another engine.
             lost = f"{tries.endpoint}@{now}"
             self._quarantine.record_crash(order.content, lost, now)
         tries.failed(error)
@@ -137,9 +137,9 @@
 
 
 class _GenerationReader:
-    """Reads one generation, and attaches again when its link was lost.
+    """Read one generation, and attach to it again if its link is lost.
 
-    One that isn't `resumable` is cancelled at once when its caller goes.
+    A generation that isn't `resumable` is cancelled as soon as its caller disconnects.
     """
 
     def __init__(
@@ -155,7 +155,7 @@
         self._next_index = 0
 
     def submit(self, order: GenerationOrder) -> None:
-        """Ask for a new generation."""
+        """Request a new generation."""
         self._request = self._open()
         self._request.send(
             submit=Submit(
@@ -171,7 +171,7 @@
         )
 
     def attach(self, generation: str, index: int) -> None:
-        """Ask for a running generation from `index` on."""
+        """Request the tokens of a running generation, starting at `index`."""
         self._generation = generation
         self._next_index = index
         self._request = self._open()
@@ -186,7 +186,10 @@
         )
 
     async def read(self) -> AsyncIterator[ShownTokens]:
-        """Yield tokens until the generation is whole; raise how else it ended."""
+        """Yield tokens until the generation is complete.
+
+        Raise `RequestRefusedError` if it ends in any other way.
+        """
         ended = False
         try:
             while not ended:
--- a/src/piershore/gateway/refusals.py
+++ b/src/piershore/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""What an agent's refusal of a request means to its gateway."""
+"""Conversion of an agent's refusals to errors for callers."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 
 NOT_TAKING = (RefusalReason.ENDPOINT_RESTING, RefusalReason.ENDPOINT_LIMITED)
 RETRY_AFTER_SECONDS = 1.0
-"""When to come back if the agent doesn't tell."""
+"""Time after which callers may retry if the agent names none."""
 
 
 def read_refusal(
     link: AgentLink, frame: Refused, *, from_owner: bool = False
 ) -> RequestRefusedError:
-    """Return what the caller is told, and note what concerns the endpoint itself."""
+    """Return the error for the caller, and record a backoff that the agent requests."""
     reason = RefusalReason(frame.reason)
     retry_after = frame.retry_after_seconds or RETRY_AFTER_SECONDS
     if reason in NOT_TAKING:
-        # It seems idle, so that all that follows would be sent there and refused.
+        # An endpoint that refuses looks idle. Without the backoff, all further requests
+        # would be sent there and refused.
         link.state.rest.extend(retry_after, trio.current_time())
     return RequestRefusedError(
         reason,
--- a/src/piershore/gateway/request_reader.py
+++ b/src/piershore/gateway/request_reader.py
@@ -1,4 +1,4 @@
-"""Reading callers' requests: caps, content type, JSON, fields, bearer key."""
+"""Reading and validation of HTTP requests, and authentication by bearer key."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class RequestReader:
-    """Turns the current HTTP request into checked data."""
+    """Read and validate the current HTTP request, within size limits."""
 
     def __init__(self, caps: RequestCaps, accounts: AccountDirectory) -> None:
         self._caps = caps
         self._accounts = accounts
 
     def check_headers(self) -> None:
-        """Refuse headers that are larger than the cap."""
+        """Refuse the request if its headers exceed the size limit."""
         size = sum(len(name) + len(value) for name, value in request.headers)
         if size > self._caps.header_bytes:
             raise RequestRefusedError(
@@ -39,7 +39,7 @@
             )
 
     def authenticate(self) -> EffectiveAccount:
-        """Return the client account that the bearer key belongs to."""
+        """Return the client account of the bearer key."""
         key = bearer_key(request.headers.get("Authorization"))
         account = self._accounts.authenticate(key) if key else None
         if account is None:
@@ -49,7 +49,7 @@
         return account
 
     async def read_bytes(self) -> bytes:
-        """Return the body as sent; refuse one that is too large."""
+        """Return the raw body; refuse the request if it is too large."""
         body = bytearray()
         async for chunk in request.body:
             body += chunk
@@ -61,9 +61,9 @@
         return bytes(body)
 
     async def discard(self) -> bool:
-        """Read what is left of the body; tell whether that was all.
+        """Discard the rest of the body; return False if it is too large to be read.
 
-        Without this the connection's next request would never be seen.
+        Unread data would keep the server from reading the connection's next request.
         """
         left = self._caps.body_bytes * DISCARDED_BODIES
         async for chunk in request.body:
@@ -73,7 +73,7 @@
         return True
 
     async def read_json(self) -> object:
-        """Return the body as plain data; refuse what isn't JSON."""
+        """Return the parsed JSON body; refuse the request if it isn't valid JSON."""
         if request.mimetype != JSON_TYPE:
             raise RequestRefusedError(
                 RefusalReason.WRONG_CONTENT_TYPE, f"the body must be {JSON_TYPE}"
@@ -92,7 +92,7 @@
         return data
 
     async def read(self, target: type[Body]) -> Body:
-        """Return the body as `target`; refuse with every finding."""
+        """Return the body as a `target`; refuse it with all validation errors."""
         data = await self.read_json()
         try:
             return structure(target, data)
--- a/src/piershore/gateway/retries.py
+++ b/src/piershore/gateway/retries.py
@@ -1,4 +1,4 @@
-"""This gateway's part of the retries that all gateways may make."""
+"""This gateway's quota of the retries that all gateways may make together."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from piershore.core.attempts.retry_budget import RetryBudget, RetryLimits
 
 WINDOW_SECONDS = 10.0
-"""Time over which retries are bound: long against a burst of failures, short against
+"""Window over which retries are limited: longer than a burst of failures, shorter than
 the time in which traffic changes."""
 SLACK = 20.0
-"""Retries that all gateways together may make in a window beside the share, so that a
-fleet with little traffic can retry at all."""
+"""Retries that all gateways together may make in a window in addition to the share of
+requests, so that a fleet with little traffic can retry at all."""
 
 
 class Retries:
-    """Counts requests and retries; `gateways` tells how many gateways live."""
+    """Count requests and retries; `gateways` returns the number of live gateways."""
 
     def __init__(self, share: float, gateways: Callable[[], int]) -> None:
         limits = RetryLimits(ratio=share, slack=SLACK, window=WINDOW_SECONDS, safety=1)
@@ -25,9 +25,9 @@
         self._gateways = gateways
 
     def note_request(self) -> None:
-        """Count a request's first try."""
+        """Record the first attempt of a request."""
         self._allowance.record_request(trio.current_time())
 
     def spend(self) -> bool:
-        """Spend one retry; tell whether there was one."""
+        """Spend one retry; return False if none is left."""
         return self._allowance.spend(trio.current_time(), self._gateways())
--- a/src/piershore/gateway/tries.py
+++ b/src/piershore/gateway/tries.py
@@ -1,4 +1,4 @@
-"""The tries of one repeatable request at several endpoints."""
+"""Attempts of one request at several endpoints."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class Tries:
-    """Chooses an endpoint for each try and knows what the earlier ones mean.
+    """Choose an endpoint for each attempt, and keep the outcome of all attempts.
 
-    `endpoint` is the name of the last one.
+    `endpoint` is the name of the endpoint chosen last.
 
-    Once a try may have run, no later refusal can say that the request did not.
+    Once an attempt may have run, no later refusal may claim that the request has not.
     """
 
     def __init__(self, links: AgentLinks, retries: Retries) -> None:
@@ -30,7 +30,10 @@
         retries.note_request()
 
     def next_link(self, service: str, prompt: str = "") -> AgentLink:
-        """Return the link for the next try; raise the last refusal if none is left."""
+        """Return the link for the next attempt.
+
+        Raise the last refusal if no endpoint is left.
+        """
         link = self._links.choose(service, prompt, self._tried)
         if link is not None:
             self.endpoint = link.state.name
@@ -43,15 +46,15 @@
         )
 
     def is_last(self, error: RequestRefusedError) -> bool:
-        """Tell whether this is the refusal of an earlier try once more."""
+        """Return whether `error` is the previous attempt's refusal, raised again."""
         return error is self._last
 
     def failed(self, error: RequestRefusedError) -> None:
-        """Spend a retry on a failed try; raise `error` if there may be none."""
+        """Spend a retry on a failed attempt; raise `error` if none is allowed."""
         if error.outcome is not Outcome.NOT_RUN:
             self._outcome = error.outcome
         error.outcome = self._outcome
-        # The last refusal again: no endpoint is left, and nothing was sent.
+        # The previous refusal was raised again: no endpoint was left to send to.
         if self.is_last(error) or error.reason not in RETRYABLE_REASONS:
             raise error
         if not self._retries.spend():
