--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -1,30 +1,30 @@
 @at_most_once
-Feature: A call that may not repeat runs at most once
+Feature: A non-repeatable call runs at most once
 
-  Scenario Outline: The same key again at <gateway>, <moment>
+  Scenario Outline: A call is repeated with its key at <gateway>, <moment>
     Given a running deployment
-    When a call that may not repeat has been sent with a key from gateway-1
-    And it is sent again at <gateway> <moment>
-    Then every answer is <answer>
+    When a key for a non-repeatable call is minted at gateway-1
+    And the call is sent with it, and again to <gateway> <moment>
+    Then <answers>
     And no key was executed more than once
 
     Examples:
-      | gateway   | moment                          | answer                                |
-      | gateway-1 | while it runs                   | the same                              |
-      | gateway-2 | while it runs                   | the same                              |
-      | gateway-1 | after it is done                | the same                              |
-      | gateway-2 | after it is done                | the same                              |
-      | gateway-2 | after its owner was killed      | not called not_run                    |
-      | gateway-2 | after its owner was replaced    | not called not_run                    |
-      | gateway-2 | while its owner is frozen       | not called not_run                    |
-      | gateway-2 | after its owner slept through a take-over | the same                    |
-      | gateway-2 | with the platform out           | the same                              |
-      | gateway-2 | after the slots were changed    | the same                              |
-      | gateway-2 | after its owner has left        | not called not_run                    |
+      | gateway   | moment                                      | answers                       |
+      | gateway-1 | while it runs                               | every answer is the same      |
+      | gateway-2 | while it runs                               | every answer is the same      |
+      | gateway-1 | after it has finished                       | every answer is the same      |
+      | gateway-2 | after it has finished                       | every answer is the same      |
+      | gateway-2 | after its owner was killed                  | no answer has outcome not_run |
+      | gateway-2 | after its owner was replaced                | no answer has outcome not_run |
+      | gateway-2 | while its owner is frozen                   | no answer has outcome not_run |
+      | gateway-2 | after its owner was frozen until a takeover | every answer is the same      |
+      | gateway-2 | with the platform down                      | every answer is the same      |
+      | gateway-2 | after the slots were changed                | every answer is the same      |
+      | gateway-2 | after its owner has stopped                 | no answer has outcome not_run |
 
-  Scenario Outline: A caller whose clock is <offset> ms off
+  Scenario Outline: A key was minted by a clock that is <offset> ms off
     Given a running deployment
-    When a call that may not repeat is sent with a key minted <offset> ms off
+    When a non-repeatable call is sent with a key minted by a clock <offset> ms off
     Then it is refused with outcome unknown and code <code>
     And nothing was executed
 
@@ -33,34 +33,34 @@
       | 3600000  | no_owner |
       | -3600000 | no_owner |
 
-  Scenario: Keys from the gateway go on running while the platform is out for long
+  Scenario: Gateways still mint valid keys during a long platform outage
     Given a running deployment
-    When the platform is out until all leases have run out
-    Then a call without a key still runs, once
+    When the platform is down until all leases have expired
+    Then a call without a key still runs exactly once
 
-  Scenario: The answer to a lease's write is lost
+  Scenario: Answers to writes of leases are lost
     Given a running deployment
     When the answers to the next 4 writes are lost while leases are extended
-    Then 20 calls without a key each run once
+    Then 20 calls without a key run once each
 
-  Scenario: A stricter view of what may not repeat wins
+  Scenario: A kind is non-repeatable if the service or the account says so
     Given a running deployment
-    When an account's template says that panel_status may not repeat
-    Then panel_status asks for a key with a mint time
-    And the same key twice at panel_status is executed once
+    When an account's template lists panel_status as non-repeatable
+    Then panel_status requires a key with a mint time
+    And two panel_status calls with the same key are executed once
 
-  Scenario Outline: A call whose service <event>
+  Scenario Outline: A non-repeatable call whose service <event>
     Given a running deployment
-    When a call that may not repeat is sent and its service <event>
+    When a non-repeatable call is sent and its service <event>
     Then it is answered with outcome <outcome>
     And no key was executed more than once
 
     Examples:
-      | event             | outcome |
-      | is killed midway  | unknown |
-      | is gone before    | not_run |
+      | event            | outcome |
+      | is killed midway | unknown |
+      | is already down  | not_run |
 
-  Scenario: An agent that is back takes keys only once it has told which are its own
+  Scenario: A reconnected agent gets requests only after it has reported its keys
     Given a link whose agent has greeted and told nothing else yet
     Then the link takes no requests yet
     When the agent's first heartbeat comes
--- a/features/steps/once_steps.py
+++ b/features/steps/once_steps.py
@@ -1,4 +1,4 @@
-"""Steps on calls that may not repeat."""
+"""Steps for non-repeatable calls."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 LONG_CALL_SECONDS = 1.5
 
 
-@when("a call that may not repeat has been sent with a key from gateway-1")
+@when("a key for a non-repeatable call is minted at gateway-1")
 def prepare_call(context):
     world = context.world
     world.values["key"] = world.caller().mint_key(SERVICE)
 
 
 def first_call(world, seconds):
-    """Send the first call in the background and wait until it executes."""
+    """Send the first call in the background and wait until it is executing."""
     key = world.values["key"]
     arguments = {"tag": "one", "seconds": seconds}
     first = world.submit(world.call_once, "gateway-1", key, **arguments)
-    wait_until(lambda: world.executions()[key] > 0, "the execution")
+    wait_until(lambda: world.executions()[key] > 0, "the call to be executed")
     world.values["owner"] = world.owner_of(key)
     return first, arguments
 
@@ -49,7 +49,7 @@
     world.results += [first.result(60), again]
 
 
-@when("it is sent again at {gateway} while it runs")
+@when("the call is sent with it, and again to {gateway} while it runs")
 def again_while_running(context, gateway):
     send_again(context, gateway, LONG_CALL_SECONDS, lambda world, first: None)
 
@@ -58,7 +58,7 @@
     assert first.result(60).is_whole
 
 
-@when("it is sent again at {gateway} after it is done")
+@when("the call is sent with it, and again to {gateway} after it has finished")
 def again_after_done(context, gateway):
     send_again(context, gateway, 0, wait_done)
 
@@ -67,7 +67,7 @@
     world.deployment.process(world.values["owner"]).kill()
 
 
-@when("it is sent again at {gateway} after its owner was killed")
+@when("the call is sent with it, and again to {gateway} after its owner was killed")
 def again_after_kill(context, gateway):
     send_again(context, gateway, LONG_CALL_SECONDS, kill_owner)
 
@@ -78,7 +78,7 @@
     world.wait_serving()
 
 
-@when("it is sent again at {gateway} after its owner was replaced")
+@when("the call is sent with it, and again to {gateway} after its owner was replaced")
 def again_after_replacement(context, gateway):
     send_again(context, gateway, LONG_CALL_SECONDS, replace_owner)
 
@@ -87,7 +87,7 @@
     world.deployment.process(world.values["owner"]).freeze()
 
 
-@when("it is sent again at {gateway} while its owner is frozen")
+@when("the call is sent with it, and again to {gateway} while its owner is frozen")
 def again_while_frozen(context, gateway):
     send_again(context, gateway, LONG_CALL_SECONDS, freeze_owner)
     process = context.world.deployment.process(context.world.values["owner"])
@@ -99,7 +99,7 @@
     owner = world.deployment.process(world.values["owner"])
     owner.freeze()
     other = next(f"order-{n}" for n in NUMBERS if f"order-{n}" != owner.name)
-    wait_until(lambda: holds_all_slots(world, other), "the take-over")
+    wait_until(lambda: holds_all_slots(world, other), "the takeover")
     owner.thaw()
     for gateway in GATEWAYS:
         world.deployment.wait_links(gateway, AGENTS)
@@ -118,11 +118,13 @@
 
 
 def value_of(item):
-    """Return the contents of an object as the platform stores it."""
+    """Return the value of an object from the platform's answer."""
     return orjson.loads(base64.b64decode(item["spec"]["value"]))
 
 
-@when("it is sent again at {gateway} after its owner slept through a take-over")
+@when(
+    "the call is sent with it, and again to {gateway} after its owner was frozen until a takeover"
+)
 def again_after_sleep(context, gateway):
     send_again(context, gateway, 0, sleep_through_takeover)
 
@@ -132,7 +134,7 @@
     world.deployment.set_faults(outage=True)
 
 
-@when("it is sent again at {gateway} with the platform out")
+@when("the call is sent with it, and again to {gateway} with the platform down")
 def again_without_platform(context, gateway):
     send_again(context, gateway, 0, stop_platform)
 
@@ -153,7 +155,7 @@
         world.wait_owners(gateway)
 
 
-@when("it is sent again at {gateway} after the slots were changed")
+@when("the call is sent with it, and again to {gateway} after the slots were changed")
 def again_after_resize(context, gateway):
     send_again(context, gateway, 0, change_slots)
 
@@ -165,7 +167,7 @@
     assert owner.wait() == 0
 
 
-@when("it is sent again at {gateway} after its owner has left")
+@when("the call is sent with it, and again to {gateway} after its owner has stopped")
 def again_after_leave(context, gateway):
     send_again(context, gateway, 0, let_owner_leave)
 
@@ -178,7 +180,7 @@
     assert len(bodies) == 1, bodies
 
 
-@then("every answer is not called not_run")
+@then("no answer has outcome not_run")
 def check_not_called(context):
     for result in context.world.results:
         assert result.outcome != "not_run", result.body
@@ -192,7 +194,7 @@
     assert not doubled, doubled
 
 
-@when("a call that may not repeat is sent with a key minted {offset:d} ms off")
+@when("a non-repeatable call is sent with a key minted by a clock {offset:d} ms off")
 def call_with_skew(context, offset):
     world = context.world
     now = int(time.time() * 1000)
@@ -211,7 +213,7 @@
     assert not context.world.executions(), context.world.executions()
 
 
-@when("the platform is out until all leases have run out")
+@when("the platform is down until all leases have expired")
 def outlast_leases(context):
     world = context.world
     ends = [
@@ -219,10 +221,10 @@
         for slot in read_slot_table(world)["layouts"][-1]["slots"]
     ]
     world.deployment.set_faults(outage=True)
-    wait_until(lambda: time.time() * 1000 > max(ends) + 1000, "the leases' end")
+    wait_until(lambda: time.time() * 1000 > max(ends) + 1000, "the leases to expire")
 
 
-@then("a call without a key still runs, once")
+@then("a call without a key still runs exactly once")
 def check_runs(context):
     result = context.world.call_once("gateway-2", tag="late")
     assert result.is_whole, result
@@ -241,10 +243,10 @@
         ).json()
         return faults["lose_answers"] == 0 and read_slot_table(world) != before
 
-    wait_until(all_lost, "the lost answers")
+    wait_until(all_lost, "the answers to be lost")
 
 
-@then("{count:d} calls without a key each run once")
+@then("{count:d} calls without a key run once each")
 def check_calls(context, count):
     world = context.world
     futures = [
@@ -258,7 +260,7 @@
     assert all(executions[result.key] == 1 for result in results)
 
 
-@when("an account's template says that panel_status may not repeat")
+@when("an account's template lists panel_status as non-repeatable")
 def make_stricter(context):
     world = context.world
     path = "templates/prototyping-shop"
@@ -270,13 +272,13 @@
     answer.raise_for_status()
 
 
-@then("panel_status asks for a key with a mint time")
+@then("panel_status requires a key with a mint time")
 def check_needs_key(context):
     result = context.world.caller().call(SERVICE, PLAIN_KIND, "not-a-key", tag="x")
     assert result.code == "invalid_idempotency_key", result
 
 
-@then("the same key twice at panel_status is executed once")
+@then("two panel_status calls with the same key are executed once")
 def check_strict_once(context):
     world = context.world
     key = world.caller().mint_key(SERVICE)
@@ -286,7 +288,7 @@
     assert world.executions()[key] == 1
 
 
-@when("a call that may not repeat is sent and its service is killed midway")
+@when("a non-repeatable call is sent and its service is killed midway")
 def kill_service_midway(context):
     world = context.world
     world.values["key"] = world.caller().mint_key(SERVICE)
@@ -299,7 +301,7 @@
     world.results.append(first.result(60))
 
 
-@when("a call that may not repeat is sent and its service is gone before")
+@when("a non-repeatable call is sent and its service is already down")
 def kill_service_before(context):
     world = context.world
     for number in NUMBERS:
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -1,4 +1,4 @@
-"""Steps on requests that are refused."""
+"""Steps for requests that are refused."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     set_limits(world, requests_per_second=0.01)
     wait_until(
         lambda: world.caller().call(SERVICE, PLAIN_KIND, tag="x").code,
-        "the rate to be spent",
+        "the rate limit to be exceeded",
     )
 
 
 def exhaust_concurrency(world):
     set_limits(world, concurrent_requests=1)
     world.submit(world.caller().call, SERVICE, PLAIN_KIND, tag="holder", seconds=5)
-    wait_until(lambda: world.tags()["holder"], "the holder")
+    wait_until(lambda: world.tags()["holder"], "the call that uses up the concurrency")
 
 
 def drain_all(world):
@@ -42,7 +42,7 @@
         boxes = world.deployment.admin("gateway-1", "GET", "status").json()["boxes"]
         return not any(b["state"] == "live" and b["role"] == "agent" for b in boxes)
 
-    wait_until(all_gone, "the drains")
+    wait_until(all_gone, "the endpoints to be drained")
 
 
 def kill_all(world, prefix):
@@ -58,7 +58,7 @@
         states = [b["state"] for b in boxes if b["box"].startswith("order")]
         return states == ["silent", "silent"]
 
-    wait_until(noticed, "the loss of the agents")
+    wait_until(noticed, "the agents to be reported silent")
 
 
 def restart_services(world):
@@ -84,10 +84,10 @@
             "gateway-1", "PATCH", path, {"services": [MODEL]}, {"If-Match": etag}
         ).raise_for_status()
         return caller.call(SERVICE, PLAIN_KIND, tag=tag)
-    if cause == "its account is over its rate":
+    if cause == "its account is over its rate limit":
         exhaust_rate(world)
         return caller.call(SERVICE, PLAIN_KIND, tag=tag)
-    if cause == "its account is over its concurrency":
+    if cause == "its account is over its concurrency limit":
         exhaust_concurrency(world)
         return caller.call(SERVICE, PLAIN_KIND, tag=tag)
     if cause == "its key has no mint time":
@@ -96,7 +96,7 @@
         drain_all(world)
         kind = ONCE_KIND if "not repeatable" in cause else PLAIN_KIND
         return caller.call(SERVICE, kind, tag=tag)
-    if cause == "all services are gone":
+    if cause == "all services are down":
         kill_all(world, "desk")
         result = caller.call(SERVICE, PLAIN_KIND, tag=tag)
         restart_services(world)
@@ -124,16 +124,16 @@
     assert context.world.tags()[tag] == count, context.world.tags()
 
 
-@when("a call with a key has run and is sent again and {cause}")
+@when("a call with a key has run and is repeated, but {cause}")
 def send_again_refused(context, cause):
     world = context.world
     key = world.caller().mint_key(SERVICE)
     first = world.call_once("gateway-1", key, tag="kept")
     assert first.is_whole, first
     gateway, account_key = "gateway-1", "key-surulere"
-    if cause == "its account is over its rate":
+    if cause == "its account is over its rate limit":
         exhaust_rate(world)
-    elif cause == "its account is over its concurrency":
+    elif cause == "its account is over its concurrency limit":
         exhaust_concurrency(world)
     elif cause == "its bearer key is unknown":
         account_key = "nobody"
@@ -147,7 +147,7 @@
     assert world.executions()[key] == 1
 
 
-@then("its outcome is not called not_run")
+@then("it is not reported as not_run")
 def check_outcome(context):
     result = context.world.results[-1]
     assert result.code and result.outcome != "not_run", result
@@ -163,7 +163,7 @@
     world.results.append(world.caller().generate(MODEL, "stack_up_check", 5))
 
 
-@then("the engines have started nothing")
+@then("no engine has started a generation")
 def check_engines(context):
     world = context.world
     for number in NUMBERS:
@@ -171,19 +171,20 @@
         assert world.deployment.client.get(url).json()["started"] == 0
 
 
-@then("the refusal says when to return")
+@then("the refusal says when to retry")
 def check_retry_after(context):
     assert context.world.results[-1].body["retry_after"] >= 1
 
 
-@when(
-    "a {request} runs at one endpoint, no other endpoint is there, and its agent is killed"
-)
+@when("a {request} runs at the only endpoint and its agent is killed")
 def die_midway(context, request):
     world = context.world
     prefix = "order" if request == "call" else "review"
     world.deployment.process(f"{prefix}-2").kill()
-    wait_until(lambda: state_of(world, f"{prefix}-2") == "silent", "its loss")
+    wait_until(
+        lambda: state_of(world, f"{prefix}-2") == "silent",
+        "the agent to be reported silent",
+    )
     if request == "call":
         caller = world.caller()
         future = world.submit(caller.call, SERVICE, PLAIN_KIND, tag="m", seconds=20)
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -1,4 +1,4 @@
-"""Steps on token streams."""
+"""Steps for token streams."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from piershore.gateway.agent_link import SILENCE_SECONDS
 
 STILL_MARGIN_SECONDS = 1.0
-"""By how much longer than a silence the gateway stands still."""
+"""Time for which the gateway is frozen beyond the silence timeout."""
 
 
 def serving_number(world):
-    """Return the number of the engine that works on the first stream."""
+    """Return the number of the engine that generates the first stream."""
     if world.streams and world.streams[0].endpoint:
         return world.streams[0].endpoint.partition("-")[2]
 
@@ -38,7 +38,7 @@
             world.deployment.client.post(url, json={"paused": paused})
 
 
-@when("a stream of {count:d} tokens is asked for")
+@when("a stream of {count:d} tokens is requested")
 def ask_stream(context, count):
     world = context.world
     set_engines_paused(world, True)
@@ -46,7 +46,7 @@
 
 
 def go_on_to(world, moment):
-    """Let the engines work up to the moment of the fault."""
+    """Let the engines run until the moment of the fault; return the serving one."""
     if moment == "before the first token":
         return serving_number(world)
     set_engines_paused(world, False)
@@ -118,7 +118,7 @@
     "the link stalls": stall_link,
     "the agent is frozen": freeze_agent,
     "the engine is frozen": freeze_engine,
-    "the platform is out": stop_platform,
+    "the platform is down": stop_platform,
 }
 
 
@@ -136,7 +136,7 @@
     when(name + " {moment}")(fault_step(name))
 
 
-@when("gateway-1 stands still after {count:d} tokens")
+@when("gateway-1 is frozen after {count:d} tokens")
 def freeze_gateway(context, count):
     go_on_to(context.world, f"after {count}")
     process = context.world.deployment.process("gateway-1")
@@ -163,7 +163,7 @@
     world.stream(150, "gateway-2", world.streams[0].last_id)
 
 
-@then("both parts together are whole, in order, from one generation")
+@then("both parts together are complete, in order, from one generation")
 def check_parts(context):
     first, second = context.world.streams
     second.join()
@@ -172,7 +172,7 @@
     assert not fault, fault
 
 
-@then("the stream is whole, in order, from one generation")
+@then("the stream is complete, in order, from one generation")
 def check_whole(context):
     stream = context.world.streams[0]
     stream.join()
@@ -180,7 +180,7 @@
     assert not stream.fault(), stream.fault()
 
 
-@then("the stream ends at once with {code} and no splice")
+@then("the stream ends at once with {code}, without tokens of another generation")
 def check_ended(context, code):
     stream = context.world.streams[0]
     stream.join()
@@ -190,7 +190,7 @@
     assert not stream.prefix_fault(), stream.prefix_fault()
 
 
-@when("the caller drops after {count:d} tokens")
+@when("the caller disconnects after {count:d} tokens")
 def drop_caller(context, count):
     world = context.world
     go_on_to(world, f"after {count}")
@@ -199,7 +199,7 @@
     world.values["dropped"] = world.streams[0]
 
 
-@when("two readers resume it at both gateways")
+@when("two readers resume it, one at each gateway")
 def resume_twice(context):
     world = context.world
     dropped = world.values["dropped"]
@@ -210,7 +210,7 @@
     world.values["readers"] = (older, newer)
 
 
-@then("the newer reader gets the rest whole and the older is cut off")
+@then("the newer reader gets all remaining tokens and the older is cut off")
 def check_readers(context):
     world = context.world
     older, newer = world.values["readers"]
@@ -224,14 +224,14 @@
     assert not token_fault(older.text, shown + older.count, first=shown)
 
 
-@when("a stream of {count:d} tokens is asked for and read slowly")
+@when("a stream of {count:d} tokens is requested and read slowly")
 def ask_slow(context, count):
     stream = context.world.stream(count)
     stream.go_on.clear()
     stream.wait_tokens(1)
 
 
-@then("the second stream is whole before the slow caller goes on")
+@then("the second stream completes before the slow caller continues")
 def check_second(context):
     slow, fast = context.world.streams
     set_engines_paused(context.world, False)
@@ -240,7 +240,7 @@
     assert not slow.finished
 
 
-@then("the slow stream is whole as well")
+@then("the slow stream completes as well")
 def check_slow(context):
     slow = context.world.streams[0]
     slow.go_on.set()
@@ -263,7 +263,7 @@
         world.values["refusal"] = response.json()
 
 
-@then("that resumption is refused with {code}")
+@then("the resumption is refused with {code}")
 def check_refusal(context, code):
     assert context.world.values["refusal"]["code"] == code
 
@@ -283,6 +283,8 @@
     world.deployment.wait_ready(name)
     other = ({*halls} - {first.endpoint}).pop()
     process = world.deployment.process(name)
-    wait_until(lambda: f"endpoint={other} " in process.output, "its own link")
+    wait_until(
+        lambda: f"endpoint={other} " in process.output, "a link to the other endpoint"
+    )
     assert f"endpoint={first.endpoint} " not in process.output
     world.stream(150, name, first.last_id)
--- a/features/steps/two_fault_steps.py
+++ b/features/steps/two_fault_steps.py
@@ -1,4 +1,4 @@
-"""Steps with two faults at once."""
+"""Steps for two simultaneous faults."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return owners == {f"order-{number}" for number in NUMBERS}
 
 
-@when("the platform goes out and its owner is killed while it runs")
+@when("the platform goes down and the owner is killed while the call runs")
 def kill_owner_in_outage(context):
     world = context.world
     wait_until(lambda: all_share(world), "both agents to own slots")
@@ -36,7 +36,7 @@
     world.results += [first.result(60), again]
 
 
-@then("keys of the other owner still run, once")
+@then("calls with keys of the other owner still run exactly once")
 def check_other_owner(context):
     world = context.world
     for gateway in GATEWAYS:
@@ -45,7 +45,7 @@
         assert world.executions()[result.key] == 1
 
 
-@when("its owner loses write answers, is frozen until taken over, and woken")
+@when("its owner loses answers to writes, is frozen until a takeover and thawed")
 def lose_and_freeze(context):
     world = context.world
     first, arguments = first_call(world, 0)
@@ -63,7 +63,7 @@
         relay.cut()
 
 
-@when("an engine is killed under whole answers while the other agent is replaced")
+@when("an engine is killed during generations while the other agent is replaced")
 def kill_and_replace(context):
     world = context.world
     set_engines_paused(world, True)
@@ -78,13 +78,13 @@
     stopped.terminate()
     world.deployment.process(f"engine-{number}").kill()
     set_engines_paused(world, False)
-    wait_until(lambda: not stopped.is_running, "the other agent's end")
+    wait_until(lambda: not stopped.is_running, "the other agent to stop")
     assert stopped.wait() == 0
     world.start_agent(f"review-{other}")
     world.results = [future.result(90) for future in futures]
 
 
-@then("every answer is whole or says that it was lost, and none is spliced")
+@then("every answer is complete or reported as lost, and none mixes generations")
 def check_results(context):
     for result in context.world.results:
         assert not result.fault, result
--- a/features/steps/whole_steps.py
+++ b/features/steps/whole_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers that reach their callers."""
+"""Steps for complete answers to concurrent callers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from devtools.deployment import wait_until
 
 
-@when("{count:d} callers send calls that take between 0 and 400 ms and generations")
+@when("{count:d} callers send generations and calls that take 0 to 400 ms")
 def send_mixed(context, count):
     world = context.world
     random = Random(5)
@@ -33,22 +33,20 @@
     world.results = [future.result(90) for future in futures]
 
 
-@then("every caller has its own whole answer")
-@then("every later caller has its own whole answer")
+@then("every caller has the complete answer to its request")
+@then("every later caller has the complete answer to its request")
 def check_own(context):
     faulty = [result for result in context.world.results if not result.is_whole]
     assert context.world.results and not faulty, faulty
 
 
-@when(
-    "{count:d} slow calls are under way at gateway-1 and it is killed and started anew"
-)
+@when("{count:d} slow calls run at gateway-1 and it is killed and restarted")
 def restart_gateway(context, count):
     world = context.world
     for number in range(count):
         caller = world.caller()
         world.submit(caller.call, SERVICE, PLAIN_KIND, tag=f"slow{number}", seconds=3)
-    wait_until(lambda: sum(world.tags().values()) == count, "the slow calls")
+    wait_until(lambda: sum(world.tags().values()) == count, "the slow calls to run")
     world.deployment.process("gateway-1").kill()
     world.deployment.start_gateway("gateway-1", GATEWAYS["gateway-1"])
     world.deployment.wait_ready("gateway-1")
