--- a/src/piershore/gateway/generation_service.py
+++ b/src/piershore/gateway/generation_service.py
@@ -117,7 +117,7 @@
         """Spend a retry; raise `error` if no further attempt is allowed."""
         now = trio.current_time()
         if error.reason is RefusalReason.ENGINE_LOST and not tries.is_last(error):
-            # A restarted engine keeps its agent's name, and counts as another engine.
+            # A restarted engine keeps its agent's name; the time tells them apart.
             lost = f"{tries.endpoint}@{now}"
             self._quarantine.record_crash(order.content, lost, now)
         tries.failed(error)
