--- a/src/piershore/agent/__init__.py
+++ b/src/piershore/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside one endpoint."""
+"""The agent: a sidecar process that serves one endpoint."""
--- a/src/piershore/agent/announcer.py
+++ b/src/piershore/agent/announcer.py
@@ -1,4 +1,4 @@
-"""Announcing this agent's address and incarnation in the platform."""
+"""Publish this agent's address and incarnation in the platform's store."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def announce(store: PlatformStore, endpoint: str, status: EndpointStatus) -> None:
-    """Write the endpoint's status; keep at it while the platform is out."""
+    """Write the endpoint's status, retrying until the platform accepts it."""
     name = ObjectName(ObjectKind.ENDPOINT, endpoint)
     while True:
         try:
@@ -36,7 +36,7 @@
     current = await store.get(name)
     version = current.version if current is not None else 0
     if current is not None and current.value is not None:
-        # An operator's drain outlasts the incarnation that it was set for.
+        # A drain set by an operator also applies to later incarnations.
         drain = decode(EndpointStatus, current.value).drain
         status = replace(status, drain=drain)
     await settled_put(store, name, encode(status), version, uuid4().hex)
--- a/src/piershore/agent/call_runner.py
+++ b/src/piershore/agent/call_runner.py
@@ -1,4 +1,4 @@
-"""Calls of the plain service beside this agent, non-repeatable ones by claim."""
+"""Runs calls on this agent's plain service; non-repeatable ones need a claim."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Waiter:
-    """Who waits for the answer of a call."""
+    """A gateway's request that waits for the answer of a call."""
 
     link: int
     request: int
@@ -58,7 +58,11 @@
 
 @endpoint_work(ServiceType.PLAIN)
 class CallRunner(EndpointWork):
-    """Runs the calls of a plain service."""
+    """Runs calls on a plain service.
+
+    Calls with a non-repeatable key run only if this agent owns the key, and at most
+    once.
+    """
 
     def __init__(self, context: WorkContext, client: ServiceClient) -> None:
         self._service = context.settings.service
@@ -83,26 +87,26 @@
 
     @classmethod
     def create(cls, context: WorkContext) -> CallRunner:
-        """Build the work and its connection to the service."""
+        """Build the worker and its connection to the service."""
         return cls(context, HttpServiceClient(context.settings.endpoint_url))
 
     @property
     def load(self) -> WorkLoad:
-        """The load now."""
+        """The current load."""
         return WorkLoad(running=self._running)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no call runs."""
+        """Whether no call is running."""
         return self._running == 0
 
     @property
     def intervals(self) -> Iterable[SlotInterval]:
-        """Mint times whose non-repeatable keys this agent may run."""
+        """Intervals of mint times whose non-repeatable keys this agent may run."""
         return self._owner.intervals()
 
     async def run(self) -> None:
-        """Run calls and keep the leases until cancelled."""
+        """Run calls and maintain the leases until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._keeper.run)
@@ -111,18 +115,18 @@
                 self._owner.drop_expired_claims(int(time.time() * MILLISECONDS))
 
     async def close(self) -> None:
-        """Release the leases, if the platform lets, and close the connection."""
+        """Try to release the leases, then close the connection to the service."""
         with trio.move_on_after(RELEASE_SECONDS):
             await self._keeper.keep()
         await self._client.close()
 
     def leave(self) -> None:
-        """Refuse new work from now on."""
+        """Refuse new calls from now on."""
         self._leaving = True
         self._owner.leave()
 
     def frame_received(self, link: int, frame: GatewayFrame) -> None:
-        """Handle a request's frame."""
+        """Handle a frame that concerns a request."""
         match frame.WhichOneof("body"):
             case "call":
                 self.call(link, frame.call)
@@ -132,10 +136,10 @@
                 self._refuse(waiter, reason, Outcome.NOT_RUN)
 
     def link_closed(self, link: int) -> None:
-        """Leave calls running: their answers are kept for a repeat."""
+        """Keep calls running: their answers are kept for retries with the same key."""
 
     def call(self, link: int, call: Call) -> None:
-        """Run a call, attach to a running one, replay or refuse."""
+        """Run a call, wait for a running one, replay a stored answer, or refuse."""
         waiter = Waiter(link, call.request)
         if self._is_non_repeatable(call):
             self._call_once(waiter, call)
@@ -147,7 +151,8 @@
             self._spawn(self._run_repeatable, waiter, call)
 
     def _is_non_repeatable(self, call: Call) -> bool:
-        # The stricter of the gateway's view and this agent's own wins.
+        # The gateway's configuration may be newer or older than this agent's: the
+        # stricter of the two applies.
         if call.non_repeatable:
             return True
         service = self._config.get(ObjectKind.SERVICE, self._service)
--- a/src/piershore/agent/daemon.py
+++ b/src/piershore/agent/daemon.py
@@ -1,4 +1,4 @@
-"""The agent process: one endpoint's links, configuration and work."""
+"""The agent process: links, configuration and requests of one endpoint."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class AgentDaemon(LinkHandler):
-    """Serves one endpoint until it is told to leave and has finished its work."""
+    """Serves one endpoint until it is asked to leave and has finished its work."""
 
     def __init__(self, name: str, settings: AgentSettings) -> None:
         self._settings = settings
@@ -60,7 +60,7 @@
         self._receivers: dict[int, BatchReceiver] = {}
 
     async def run(self) -> None:
-        """Serve until a signal or an operator asks to leave, then finish."""
+        """Serve until a signal or an operator's drain, then finish all work."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._leave_on_signal)
             nursery.start_soon(self._follow_configuration)
@@ -72,7 +72,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Release what is held, cut the links and close the connections."""
+        """Close the worker, which releases its leases, and all connections."""
         if self._work is not None:
             await self._work.close()
         self._heartbeat_all()
@@ -83,7 +83,7 @@
         state_changed("agent_stopped", endpoint=self._owner.endpoint)
 
     def leave(self, cause: str) -> None:
-        """Refuse new work from now on, and say so on all links."""
+        """Refuse new work from now on, and announce that on all links."""
         if self._leaving.is_set():
             return
         self._leaving.set()
@@ -93,7 +93,7 @@
         state_changed("agent_leaving", endpoint=self._owner.endpoint, cause=cause)
 
     def link_opened(self, link: int, frames: FrameQueue[AgentFrame]) -> None:
-        """Greet a gateway with what this agent is and knows."""
+        """Send a gateway this agent's identity, configuration revision and load."""
         self._links[link] = frames
         self._receivers[link] = BatchReceiver(self._config)
         metrics.LINKS.set(len(self._links))
@@ -106,7 +106,7 @@
         frames.put(self._heartbeat())
 
     def link_closed(self, link: int) -> None:
-        """Take note that a link is gone."""
+        """Forget a closed link and detach its requests."""
         self._links.pop(link, None)
         self._receivers.pop(link, None)
         metrics.LINKS.set(len(self._links))
@@ -114,7 +114,7 @@
             self._work.link_closed(link)
 
     def frame_received(self, link: int, frame: GatewayFrame) -> None:
-        """Hand a frame to what it concerns."""
+        """Dispatch a frame from a gateway."""
         body = frame.WhichOneof("body")
         if body == "config":
             self._take_configuration(link, frame.config)
@@ -178,8 +178,9 @@
         self._send(link, AgentFrame(refused=refused))
 
     async def _follow_configuration(self) -> None:
-        # Gateways send changes over their links. The platform is only asked
-        # before this agent is announced, and when no gateway was heard for long.
+        # Gateways send configuration changes over their links. The platform is only
+        # listed until the worker is created, and when no gateway has sent any
+        # configuration for MAX_UPDATE_GAP_SECONDS.
         while True:
             limit = FIRST_LIST_SECONDS if self._work is None else SILENCE_SECONDS
             if trio.current_time() - self._config_heard_at > limit:
--- a/src/piershore/agent/endpoint_work.py
+++ b/src/piershore/agent/endpoint_work.py
@@ -1,4 +1,4 @@
-"""The work of an agent on its endpoint, by the service's type."""
+"""Interface and registry of the workers that run requests on an endpoint."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True)
 class WorkContext:
-    """What an agent hands to its work.
+    """What an agent passes to its worker.
 
-    `send` puts a frame on a link; `changed` asks for a heartbeat on all links.
+    `send` queues a frame on a link; `request_heartbeat` sends a heartbeat on all links.
     """
 
     owner: Owner
@@ -32,7 +32,10 @@
 
 @dataclass(frozen=True)
 class WorkLoad:
-    """Load of the endpoint as its agent sees it, without lag."""
+    """Current load of the endpoint as counted by its agent.
+
+    `free_share` is the free fraction of the endpoint's memory.
+    """
 
     running: int = 0
     queued: int = 0
@@ -41,31 +44,31 @@
 
 
 class EndpointWork(ABC):
-    """Serves the requests of all links; all methods run in the trio thread."""
+    """Runs the requests of all links; all methods are called in the trio thread."""
 
     @classmethod
     @abstractmethod
     def create(cls, context: WorkContext) -> EndpointWork:
-        """Build the work and its connection to the endpoint."""
+        """Build the worker and its connection to the endpoint."""
 
     @property
     @abstractmethod
     def load(self) -> WorkLoad:
-        """The load now."""
+        """The current load."""
 
     @property
     @abstractmethod
     def is_idle(self) -> bool:
-        """Whether nothing is left to finish."""
+        """Whether there are no requests left to finish."""
 
     @property
     def intervals(self) -> Iterable[SlotInterval]:
-        """Mint times whose non-repeatable keys this agent may run."""
+        """Intervals of mint times whose non-repeatable keys this agent may run."""
         return ()
 
     @abstractmethod
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run requests until cancelled."""
 
     @abstractmethod
     async def close(self) -> None:
@@ -77,11 +80,11 @@
 
     @abstractmethod
     def frame_received(self, link: int, frame: GatewayFrame) -> None:
-        """Handle a request's frame."""
+        """Handle a frame that concerns a request."""
 
     @abstractmethod
     def link_closed(self, link: int) -> None:
-        """Take note that a link is gone."""
+        """Handle the end of a link."""
 
 
 WORKS: dict[ServiceType, type[EndpointWork]] = {}
@@ -90,7 +93,7 @@
 def endpoint_work(
     service_type: ServiceType,
 ) -> Callable[[type[EndpointWork]], type[EndpointWork]]:
-    """Register the work for endpoints of one type of service."""
+    """Register a worker class for endpoints of one service type."""
 
     def register(work: type[EndpointWork]) -> type[EndpointWork]:
         WORKS[service_type] = work
--- a/src/piershore/agent/engine_reader.py
+++ b/src/piershore/agent/engine_reader.py
@@ -1,4 +1,4 @@
-"""Reading one generation from the engine, whatever happens to its streams."""
+"""Reads one generation from the engine and resumes streams that break."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EngineReader:
-    """Opens a generation's stream again, by offset, when it breaks."""
+    """Reads a generation's tokens; resumes at the next index when the stream breaks."""
 
     def __init__(self, engine: EngineClient, request: GenerationRequest) -> None:
         self._engine = engine
@@ -25,10 +25,10 @@
         self._failures = 0
 
     async def read(self) -> AsyncIterator[EngineTokens]:
-        """Yield tokens until the generation is whole.
+        """Yield tokens until the generation is complete.
 
-        Raise `EngineLostError` after `RESUME_ATTEMPTS` failures without a token,
-        and `EngineUnknownGenerationError` at once.
+        Raise `EngineLostError` after more than `MAX_RESUME_ATTEMPTS` failures in a row
+        without a token, and `EngineUnknownGenerationError` on the first one.
         """
         source = self._engine.generate(self._request)
         while True:
@@ -40,7 +40,7 @@
                         yield tokens
                 return
             except EngineStalledError:
-                # The engine holds it still: preempted, or waiting in its queue.
+                # The engine still has the generation: it was preempted, or is queued.
                 self._failures = 0
             except EngineLostError:
                 self._failures += 1
--- a/src/piershore/agent/generation_readers.py
+++ b/src/piershore/agent/generation_readers.py
@@ -1,4 +1,4 @@
-"""The generations of an agent, and who reads them over which link."""
+"""The generations of an agent and the readers on its links."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class GenerationReaders:
-    """Gives each reader the tokens of its generation, from its index on."""
+    """Sends each reader the tokens of its generation from the reader's index on."""
 
     def __init__(self, flush_interval: float, send: Send, refusals: Refusals) -> None:
         self._send = send
@@ -28,7 +28,7 @@
 
     @property
     def generations(self) -> Collection[Generation]:
-        """All generations, also ended ones that may still be read."""
+        """All generations, including ended ones that may still be read."""
         return self._generations.values()
 
     async def run(self) -> None:
@@ -40,19 +40,23 @@
         return self._generations[identity]
 
     def add(self, generation: Generation, link: int, request: int) -> None:
-        """Take a new generation and its first reader."""
+        """Add a new generation and its first reader."""
         generation.attach(link, request, 0)
         self._generations[generation.identity] = generation
         self._names[link, request] = generation.identity
 
     def accept(self, identity: str) -> None:
-        """Tell the reader that its generation runs."""
+        """Send the reader a notice that its generation was accepted."""
         reader = self._generations[identity].reader
         if reader is not None:
             self._send(reader.link, _accepted(reader.request, identity))
 
     def attach(self, link: int, attach: Attach) -> None:
-        """Give a reader the tokens of a generation from its index on."""
+        """Attach a reader to a generation, starting at the reader's index.
+
+        A reader that was attached before is sent its end. Refuse the request if the
+        account has no such generation or no longer has the tokens at the index.
+        """
         generation = self._generations.get(attach.generation)
         if generation is None or generation.account != attach.account:
             self._refusals.refuse(
@@ -77,7 +81,7 @@
         self._sender.mark(attach.generation)
 
     def acknowledge(self, link: int, message: Acknowledge) -> None:
-        """Note how far the reader has come."""
+        """Record how many tokens the reader has received."""
         identity = self._names.get((link, message.request))
         if identity in self._generations:
             self._generations[identity].acknowledge(
@@ -86,7 +90,7 @@
             self._sender.mark(identity)
 
     def detach(self, link: int, request: int) -> Generation | None:
-        """Note that a reader is gone; return what it read, if that is there."""
+        """Detach a reader; return its generation, or None if there is none."""
         identity = self._names.pop((link, request), None)
         generation = self._generations.get(identity)
         if generation is not None:
@@ -94,23 +98,23 @@
         return generation
 
     def link_closed(self, link: int) -> None:
-        """Detach the readers of a link that is gone."""
+        """Detach the readers of a closed link."""
         for place in [place for place in self._names if place[0] == link]:
             self.detach(*place)
 
     def drop(self, identity: str) -> Reader | None:
-        """Drop a generation; return who still waits for it."""
+        """Drop a generation and return its reader, if any."""
         reader = self._generations.pop(identity).reader
         if reader is not None:
             self._names.pop((reader.link, reader.request), None)
         return reader
 
     def mark(self, identity: str) -> None:
-        """Note that a generation may have something for its reader."""
+        """Mark a generation that may have tokens or its end to send."""
         self._sender.mark(identity)
 
     def flush(self) -> None:
-        """Send what is there now."""
+        """Send what is pending now, without waiting for the flush interval."""
         self._sender.flush()
 
     def _cut_off(self, reader: Reader) -> None:
--- a/src/piershore/agent/generation_runner.py
+++ b/src/piershore/agent/generation_runner.py
@@ -1,4 +1,4 @@
-"""Generations on the engine beside this agent, from admission to their end."""
+"""Runs generations on this agent's engine, from admission to their end."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 JANITOR_PERIOD_SECONDS = 0.5
 POLL_PERIOD_SECONDS = 0.1
 LONGEST_PERMIT_WAIT_SECONDS = 1.0
-"""A generation that must wait longer for its engine's rate is refused: another engine
-may take it."""
+"""A generation is refused if its engine's rate limit would delay it for longer: another
+engine may accept it sooner."""
 
 
 @endpoint_work(ServiceType.MODEL)
@@ -71,7 +71,7 @@
 
     @classmethod
     def create(cls, context: WorkContext) -> GenerationRunner:
-        """Build the work and its connection to the engine."""
+        """Build the worker and its connection to the engine."""
         settings = context.settings
         engine = HttpEngineClient(settings.endpoint_url, settings.stall_timeout)
         queue = EngineQueue(context.service.admission)
@@ -81,7 +81,7 @@
 
     @property
     def load(self) -> WorkLoad:
-        """The load now."""
+        """The current load."""
         return WorkLoad(
             running=self._queue.running_count,
             queued=self._queue.queued_count,
@@ -91,33 +91,36 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing runs, waits, or has a reader who lacks tokens."""
+        """Whether nothing runs or is queued, and all readers have all their tokens."""
         if self._queue.running_count or self._queue.queued_count:
             return False
         return all(g.is_fully_sent() for g in self._readers.generations)
 
     async def run(self) -> None:
-        """Admit, stream and clean up until cancelled."""
+        """Admit, stream and clean up generations until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._poll_loop, nursery)
             nursery.start_soon(self._readers.run)
             nursery.start_soon(self._janitor_loop)
 
     async def close(self) -> None:
-        """Send what is left for the readers; close the connection to the engine."""
+        """Send the readers what is pending and close the connection to the engine."""
         self._readers.flush()
         await self._engine.close()
 
     def leave(self) -> None:
-        """Refuse new work from now on."""
+        """Refuse new generations from now on."""
         self._leaving = True
 
     def record_rate(self, rate: float | None) -> None:
-        """Take the requests a second that an answer of the engine names, or None."""
+        """Record the rate limit in an answer of the engine.
+
+        `rate` is in requests per second, None if the answer advertises no limit.
+        """
         self._refusals.record_rate(rate)
 
     def frame_received(self, link: int, frame: GatewayFrame) -> None:
-        """Handle a request's frame."""
+        """Handle a frame that concerns a request."""
         match frame.WhichOneof("body"):
             case "submit":
                 self.submit(link, frame.submit)
@@ -132,7 +135,7 @@
                 self._refusals.refuse(link, frame.call.request, reason)
 
     def submit(self, link: int, submit: Submit) -> None:
-        """Take a request into the queue, or refuse it."""
+        """Queue a request, or refuse it."""
         if self._leaving:
             self._refusals.refuse(link, submit.request, RefusalReason.LEAVING)
             return
@@ -154,7 +157,7 @@
         self._wake_poll.set()
 
     def cancel(self, link: int, message: Cancel) -> None:
-        """Note that the reader is gone, perhaps for good."""
+        """Detach a reader, and abandon its generation if the message says so."""
         generation = self._readers.detach(link, message.request)
         if generation is None:
             return
@@ -162,7 +165,7 @@
             self._abandon(generation)
 
     def link_closed(self, link: int) -> None:
-        """Detach the readers of a link that is gone."""
+        """Detach the readers of a closed link."""
         self._readers.link_closed(link)
 
     def _candidate(self, identity: str, submit: Submit, now: float) -> Candidate:
@@ -207,12 +210,12 @@
             )
 
     def _drop_unrun(self, identity: str) -> Reader | None:
-        """Drop a generation that has not run; return who still waits for it."""
+        """Drop a generation that has not run and return its reader, if any."""
         self._prompts.pop(identity, None)
         return self._readers.drop(identity)
 
     def _refuse_waiting(self) -> None:
-        """Refuse what waits in the queue: another engine may have room for it."""
+        """Refuse all queued generations: another engine may have capacity for them."""
         for candidate in self._queue.waiting():
             self._queue.withdraw(candidate.identity)
             self._refuse_rested(candidate.identity)
@@ -249,7 +252,7 @@
                 await self._engine.cancel(identity)
 
     def _give_back(self, identity: str) -> None:
-        """Refuse a generation that the engine has turned away before it began."""
+        """Refuse a generation that the engine refused before it began."""
         self._scopes.pop(identity, None)
         self._queue.finish(identity, is_complete=False)
         self._refuse_rested(identity)
--- a/src/piershore/agent/lease_keeper.py
+++ b/src/piershore/agent/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Upkeep of this agent's leases in the platform's slot table."""
+"""Maintains this agent's leases in the platform's slot table."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 MOST_FAILURES_COUNTED = 8
 MILLISECONDS = 1_000
 ERAS_SEARCHED = 8
-"""How many eras of the store back the last record is looked for. Without one the clock
-alone tells how far mint times may have been given out."""
+"""How many earlier eras of the store are searched for the last slot table. If none has
+one, the upper bound of mint times in use is derived from the clock alone."""
 
 
 class LeaseKeeper:
-    """Extends, takes and releases leases; only confirmed records count.
+    """Extends, acquires and releases leases; only confirmed records take effect.
 
-    Each era of the store has a record of its own: a store that comes back gives its
-    numbers out again, and a write on what was known before would take the place of
-    another agent's.
+    Each era of the store has its own record: a store that is restored from an older
+    copy issues the same versions again, so a write based on a version from before could
+    overwrite the record of another agent.
     """
 
     def __init__(
@@ -56,14 +56,14 @@
         self._failures = 0
 
     async def run(self) -> None:
-        """Keep the leases until cancelled; ask less often while that fails."""
+        """Maintain the leases until cancelled; back off exponentially on failures."""
         while True:
             await self.keep()
             pause = min(LONGEST_PAUSE_SECONDS, PERIOD_SECONDS * 2**self._failures)
             await trio.sleep(pause * self._random.uniform(0.5, 1.0))
 
     async def keep(self) -> None:
-        """Make one round: nothing is written when nothing is due."""
+        """Update the leases once; nothing is written if nothing is due."""
         spec = self._config.get(ObjectKind.SERVICE, self._service)
         if spec is None or not self._is_due(spec):
             return
@@ -74,8 +74,8 @@
                 await self._write(spec, stored, era)
             self._failures = 0
         except StaleVersionError as error:
-            # Somebody was faster, or the read was stale: the next round starts
-            # from the record that the platform showed.
+            # Another agent wrote first, or the read was stale: the next round
+            # starts from the record that the platform returned.
             if error.current is not None and error.current.value is not None:
                 self._confirm(error.current, era)
         except PiershoreError as error:
@@ -89,17 +89,18 @@
         return self._is_outdated(table) or self._change(spec, table) != table
 
     def _is_outdated(self, table: SlotTable) -> bool:
-        """Tell whether a lease in the record has run out.
+        """Return whether a lease in the record has expired.
 
-        Somebody else may have taken the slot since: an owner that let its lease run
-        out for another must read again to want a slot back.
+        Another agent may have acquired the slot since then. An owner that let its lease
+        expire in favour of another agent must read the record again before it requests
+        a slot.
         """
         now = self._now()
         lasts = (slot.last for slot in table.current.slots)
         return any(last and not last.released and last.end < now for last in lasts)
 
     def _newest_era(self) -> int:
-        """Return the store's era, by its answers or by what gateways have told."""
+        """Return the newest era seen in the store's answers or from gateways."""
         return max(self._store.era, era_of(self._config.complete_to))
 
     async def _write(
@@ -125,7 +126,7 @@
         metrics.LEASE_CHANGES.inc()
 
     async def _first_table(self, spec: Service, era: int) -> SlotTable:
-        """Return the record of an era that has none yet, without any owner."""
+        """Return the first record of an era, in which no slot has an owner."""
         spec_version = self._spec_version()
         if not era:
             start = self._now() - 1
@@ -134,7 +135,7 @@
         return self._owner.begin_era(spec.slots, spec_version, self._now(), found)
 
     async def _find_record(self, era: int) -> SlotTable | None:
-        """Return the last record of the eras before, as far as the store has it."""
+        """Return the newest record of earlier eras, or None if the store has none."""
         for earlier in range(era - 1, max(-1, era - 1 - ERAS_SEARCHED), -1):
             stored = await self._store.get(slots_name(self._service, earlier))
             if stored is not None and stored.value:
@@ -147,7 +148,8 @@
 
     def _confirm(self, stored: StoredObject, era: int) -> None:
         if self._store.era != era:
-            # Perhaps it took effect after the return: the record of that era counts.
+            # The write may have taken effect after the store was restored: the record
+            # of the new era is authoritative.
             return
         self._owner.confirm(decode(SlotTable, stored.value), stored.version)
         self._on_change()
@@ -169,5 +171,5 @@
 
 
 def slots_name(service: str, era: int) -> ObjectName:
-    """Return the name of a service's lease record in an era of the store."""
+    """Return the name of a service's slot table in an era of the store."""
     return ObjectName(ObjectKind.SLOTS, f"{service}@{era}" if era else service)
--- a/src/piershore/agent/pace_probe.py
+++ b/src/piershore/agent/pace_probe.py
@@ -1,4 +1,4 @@
-"""The engine's pace, measured at one generation after the other."""
+"""Measures the engine's pace on one generation at a time."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class PaceProbe:
-    """Tells the queue of the engine's steps.
+    """Records the duration of the engine's steps in the queue.
 
-    The time between two tokens of one generation is a step of the whole batch.
+    The time between two tokens of one generation is one step of the whole batch.
     """
 
     def __init__(self, queue: EngineQueue) -> None:
@@ -19,13 +19,17 @@
         self._new_tokens = 0
 
     def count(self, tokens: int) -> None:
-        """Count tokens that the engine has made for any generation."""
+        """Count tokens that the engine has generated for any generation."""
         self._new_tokens += tokens
 
     def observe(
         self, identity: str, seconds: float, now: float, running: Container[str]
     ) -> None:
-        """Take the seconds a token of a generation; `running` are those under way."""
+        """Record the seconds per token of a generation.
+
+        Only one generation is measured until it is no longer in `running`; samples of
+        others are ignored.
+        """
         if self._identity not in running:
             self._identity = identity
         if self._identity == identity:
--- a/src/piershore/agent/refusals.py
+++ b/src/piershore/agent/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of requests by an agent, also while its endpoint rests or is limited."""
+"""Refuses requests, also during a backoff or at the rate limit of the endpoint."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from piershore.wire.link_pb2 import AgentFrame, Refused
 
 Send = Callable[[int, AgentFrame], None]
-"""Puts a frame on a link."""
+"""Queues a frame on a link."""
 
 
 class Refusals:
-    """Counts and sends refusals; knows when the endpoint takes requests."""
+    """Sends and counts refusals; tracks the endpoint's backoff and rate limit."""
 
     def __init__(self, send: Send) -> None:
         self._send = send
@@ -27,23 +27,29 @@
 
     @property
     def seconds_to_rest(self) -> float:
-        """Seconds until something may be sent to the endpoint; 0 if that is now."""
+        """Seconds until the endpoint's requested backoff ends; 0 without one."""
         return self._rest.seconds_left(trio.current_time())
 
     def note_rest(self, seconds: float) -> None:
-        """Note that the endpoint wants nothing for some seconds."""
+        """Record that the endpoint has requested a backoff of some seconds."""
         self._rest.extend(seconds, trio.current_time())
 
     def record_rate(self, rate: float | None) -> None:
-        """Take the rate that an answer of the endpoint names, if it names one."""
+        """Record the rate limit that an answer advertises.
+
+        `rate` is in requests per second, None if the answer advertises no limit.
+        """
         self._rate.record_answer(rate, trio.current_time())
 
     def take_permit(self) -> bool:
-        """Take a permit for one request, if the endpoint's rate allows it now."""
+        """Acquire a permit for one request; return whether the rate limit allows it."""
         return self._rate.try_acquire(trio.current_time())
 
     def seconds_to_permit(self, waiting: int = 0) -> float:
-        """Return when the rate allows one more request after some that wait."""
+        """Return the seconds until the rate limit permits a request.
+
+        `waiting` is the number of requests that are ahead of it.
+        """
         return self._rate.seconds_until_available(trio.current_time(), waiting)
 
     def refuse(
@@ -54,7 +60,7 @@
         outcome: Outcome = Outcome.NOT_RUN,
         retry_after: float = 0.0,
     ) -> None:
-        """Refuse a request; `retry_after` is in seconds, 0 if it isn't known."""
+        """Refuse a request; `retry_after` is in seconds, 0 if unknown."""
         metrics.REFUSALS.labels(reason=reason, outcome=outcome).inc()
         refused = Refused(
             request=request,
@@ -65,7 +71,10 @@
         self._send(link, AgentFrame(refused=refused))
 
     def turn_away(self, link: int, request: int) -> bool:
-        """Refuse a request unrun if the endpoint takes none now, else use a permit."""
+        """Refuse a request as not run if the endpoint accepts none, else use a permit.
+
+        Return whether the request was refused.
+        """
         if self.seconds_to_rest:
             self.refuse_resting(link, request)
             return True
@@ -75,16 +84,17 @@
         return False
 
     def refuse_resting(self, link: int, request: int) -> None:
-        """Refuse a request unrun for as long as the endpoint asks for rest.
+        """Refuse a request as not run while the endpoint's backoff lasts.
 
-        Sent on, it would be turned away. Taken for a lost engine, two such refusals
-        held a request at its gateway as if it had crashed engines.
+        The endpoint would refuse it as well. When such a refusal was reported as a lost
+        engine, two of them quarantined the request at its gateway as if it had crashed
+        engines.
         """
         reason = RefusalReason.ENDPOINT_RESTING
         self.refuse(link, request, reason, retry_after=self.seconds_to_rest)
 
     def refuse_limited(self, link: int, request: int, waiting: int = 0) -> None:
-        """Refuse a request unrun until the endpoint's rate allows one more."""
+        """Refuse a request as not run until the rate limit permits one more."""
         reason = RefusalReason.ENDPOINT_LIMITED
         seconds = self.seconds_to_permit(waiting)
         self.refuse(link, request, reason, retry_after=seconds)
--- a/src/piershore/agent/stream_sender.py
+++ b/src/piershore/agent/stream_sender.py
@@ -1,4 +1,4 @@
-"""Sending tokens to readers: one frame a link for each flush interval."""
+"""Sends tokens to readers, in one frame per link and flush interval."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class StreamSender:
-    """Sends what the marked generations have for their readers.
+    """Sends pending tokens and ends of generations to their readers.
 
-    `interval` is in seconds; a flush that is asked for doesn't wait for it.
+    `interval` is in seconds; an explicit flush doesn't wait for it.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self._wake = trio.Event()
 
     async def run(self) -> None:
-        """Flush whatever is marked, once an interval, until cancelled."""
+        """Flush marked generations at most once per interval, until cancelled."""
         while True:
             await self._wake.wait()
             self._wake = trio.Event()
@@ -38,12 +38,12 @@
             await trio.sleep(self._interval)
 
     def mark(self, identity: str) -> None:
-        """Note that a generation may have something for its reader."""
+        """Mark a generation that may have tokens or its end to send."""
         self._marked.add(identity)
         self._wake.set()
 
     def flush(self) -> None:
-        """Send now."""
+        """Send what the marked generations have pending."""
         marked = [self._generations.get(identity) for identity in self._marked]
         self._marked.clear()
         present = [generation for generation in marked if generation is not None]
