--- a/src/piershore/commands/__init__.py
+++ b/src/piershore/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Command line of the program, a module for each verb."""
+"""Command-line interface: one module per verb."""
--- a/src/piershore/commands/admin_client.py
+++ b/src/piershore/commands/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls of the verbs to a gateway's admin API."""
+"""Client for a gateway's admin API."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
     body: object = None,
     headers: dict[str, str] | None = None,
 ) -> dict:
-    """Return the JSON answer; raise `CommandError` with what was refused."""
+    """Return the JSON answer; raise `CommandError` if the request fails.
+
+    The error of a refused request has the code, findings and differences of the answer.
+    """
     authorization = {"Authorization": f"Bearer {KEY.value or ''}"}
     try:
         response = httpx.request(
--- a/src/piershore/commands/agent_command.py
+++ b/src/piershore/commands/agent_command.py
@@ -13,11 +13,11 @@
     """Run an agent."""
 
     usage = "agent --config FILE"
-    summary = "Run the agent beside one endpoint."
+    summary = "Run the agent of one endpoint."
     example = "piershore agent --config examples/adebayo/agent.yaml"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Serve until SIGTERM."""
+        """Run the agent until SIGTERM."""
         import trio
 
         from piershore.agent.daemon import AgentDaemon
--- a/src/piershore/commands/beliefs_command.py
+++ b/src/piershore/commands/beliefs_command.py
@@ -15,16 +15,16 @@
 
 @command("beliefs")
 class BeliefsCommand(Command):
-    """Tell how far the lengths that gateways expected were from what came."""
+    """Compare the output lengths that gateways expected with the actual ones."""
 
     usage = "beliefs [FILE...] [--window SECONDS]"
-    summary = "Tell how far expected lengths of generations were off, from logs."
+    summary = "Compare expected with actual lengths of generations, from logs."
     example = "piershore beliefs --window 60 front-*.log"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Print a row for each route and window."""
+        """Print one row per route and time window."""
         review = review_beliefs(read_lines(read_texts(arguments)))
         if not review.generations:
-            raise CommandError(ExitCode.FAILED, "no generation in it ended whole")
+            raise CommandError(ExitCode.FAILED, "the logs have no completed generation")
         print_rows(review.by_moment(WINDOW.value))
         return ExitCode.OK
--- a/src/piershore/commands/command.py
+++ b/src/piershore/commands/command.py
@@ -1,4 +1,4 @@
-"""The interface of the verbs and their registry."""
+"""Interface and registry of the verbs."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Command(ABC):
-    """One verb; `usage` and `example` are shown by `--help`."""
+    """A verb; `--help` shows its `usage`, `summary` and `example`."""
 
     usage = ""
     summary = ""
@@ -29,7 +29,10 @@
 
     @abstractmethod
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Do it; `arguments` are what follows the verb."""
+        """Run the verb with the arguments that follow it, and return the exit code.
+
+        Raise `CommandError` to end with a message on standard error.
+        """
 
 
 COMMANDS: dict[str, type[Command]] = {}
@@ -50,11 +53,11 @@
     "rollout": "rollout_command",
     "hash-key": "hash_key_command",
 }
-"""Module of each verb: only the one that is asked for is imported."""
+"""Module of each verb. Only the module of the requested verb is imported."""
 
 
 def command(name: str) -> Callable[[type[Command]], type[Command]]:
-    """Register a verb."""
+    """Register the decorated class as a verb."""
 
     def register(verb: type[Command]) -> type[Command]:
         COMMANDS[name] = verb
@@ -64,7 +67,7 @@
 
 
 def load_command(name: str) -> Command | None:
-    """Import and return the verb, or None if there is none of that name."""
+    """Import and return the verb, or None if there is no verb of that name."""
     module = MODULES.get(name)
     if module is None:
         return None
--- a/src/piershore/commands/drain_command.py
+++ b/src/piershore/commands/drain_command.py
@@ -16,11 +16,11 @@
     """Drain an endpoint."""
 
     usage = "drain ENDPOINT [--undo]"
-    summary = "Let an endpoint finish its work and take no more."
+    summary = "Let an endpoint finish its work and accept no new requests."
     example = "piershore drain review-ikeja-1"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Set or clear the endpoint's drain."""
+        """Start the endpoint's drain, or end it with `--undo`."""
         if len(arguments) != 1:
             raise CommandError(ExitCode.USAGE, f"usage: piershore {self.usage}")
         body = {"drain": not UNDO.value}
--- a/src/piershore/commands/exceptions.py
+++ b/src/piershore/commands/exceptions.py
@@ -11,7 +11,7 @@
 
 
 class CommandError(PiershoreError):
-    """The verb ends with `exit_code` after printing the message."""
+    """Ends the verb with `exit_code` after its message was printed."""
 
     code = "command_failed"
 
--- a/src/piershore/commands/explain_command.py
+++ b/src/piershore/commands/explain_command.py
@@ -24,14 +24,14 @@
 
 @command("explain")
 class ExplainCommand(Command):
-    """Tell the story of one request."""
+    """Show the history of one request."""
 
     usage = "explain ID [FILE...] [--output json]"
-    summary = "Tell what happened to a request, from the logs of one or more gateways."
+    summary = "Show what happened to a request, from the logs of one or more gateways."
     example = "piershore explain 9c41d07be2a35f68 front-*.log"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Print the request's lines in order, with what explains them."""
+        """Print the request's log lines in order, with lines that explain them."""
         if not arguments:
             raise CommandError(ExitCode.USAGE, "ID is missing")
         request, *files = arguments
--- a/src/piershore/commands/gateway_command.py
+++ b/src/piershore/commands/gateway_command.py
@@ -13,11 +13,11 @@
     """Run a gateway."""
 
     usage = "gateway --config FILE"
-    summary = "Run a gateway: the callers' and operators' API."
+    summary = "Run a gateway, which serves the APIs for callers and operators."
     example = "piershore gateway --config examples/adebayo/gateway.yaml"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Serve until SIGTERM."""
+        """Run the gateway until SIGTERM."""
         import trio
 
         from piershore.boot_clock import BootClock
--- a/src/piershore/commands/hash_key_command.py
+++ b/src/piershore/commands/hash_key_command.py
@@ -18,6 +18,6 @@
     example = "printf %s my-key | piershore hash-key"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Print the hash as it goes into an account's `key_hashes`."""
+        """Print the hash in the form that an account's `key_hashes` contains."""
         print(sha256(sys.stdin.read().strip().encode()).hexdigest())
         return ExitCode.OK
--- a/src/piershore/commands/ingress_command.py
+++ b/src/piershore/commands/ingress_command.py
@@ -18,11 +18,11 @@
         "ingress [--metrics_port PORT] [--placement POLICY] [--lengths EXPECTATION]"
         " [--without NAME]"
     )
-    summary = "Run a gateway on a box of the platform, by the platform's settings."
+    summary = "Run a gateway on a box of the platform, with the platform's settings."
     example = "piershore ingress --metrics_port 7215"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Serve until SIGTERM."""
+        """Run the gateway until SIGTERM."""
         from piershore.core.fleet.policies import Policies
         from piershore.platform.gateway import run_gateway
 
--- a/src/piershore/commands/log_files.py
+++ b/src/piershore/commands/log_files.py
@@ -1,4 +1,4 @@
-"""Log files of gateways that a verb reads, or its standard input."""
+"""Reads gateways' logs from files or standard input."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from piershore.commands.exceptions import CommandError
 
 PROGRESS_LINES = 200_000
-"""Lines between two signs of progress on a terminal."""
+"""Number of lines after which the progress on a terminal is updated."""
 
 
 def read_texts(files: Sequence[str]) -> Iterator[bytes]:
-    """Yield the lines of all files, or of the input if none is named.
+    """Yield the lines of all files, or of standard input if there are none.
 
     Raise `CommandError` for a file that can't be read.
     """
--- a/src/piershore/commands/losses_command.py
+++ b/src/piershore/commands/losses_command.py
@@ -18,14 +18,14 @@
 
 @command("losses")
 class LossesCommand(Command):
-    """Tell which requests were lost or late, when and why."""
+    """List lost and late requests by cause and time."""
 
     usage = "losses [FILE...] [--window SECONDS] [--longest_pause SECONDS]"
-    summary = "Tell which requests were lost or late, when and why, from logs."
+    summary = "Show which requests were lost or late, when and why, from logs."
     example = "piershore losses front-*.log"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Print losses by cause and moment, and the pace of long streams."""
+        """Print losses by cause and by time, and the pace of long streams."""
         review = review_losses(read_lines(read_texts(arguments)), LONGEST_PAUSE.value)
         if not review.requests:
             raise CommandError(ExitCode.FAILED, "no line names a request")
--- a/src/piershore/commands/main.py
+++ b/src/piershore/commands/main.py
@@ -1,4 +1,4 @@
-"""The program's entry: finds the verb and runs it."""
+"""Entry point of the program: parses the command line and runs the verb."""
 
 from __future__ import annotations
 
--- a/src/piershore/commands/object_commands.py
+++ b/src/piershore/commands/object_commands.py
@@ -17,13 +17,13 @@
 
 
 class ObjectCommand(Command):
-    """Verbs on one collection of objects."""
+    """A verb whose actions list, show and change one collection of objects."""
 
     collection = ""
     kind = ""
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Do what the first argument says."""
+        """Run the action that the first argument names."""
         actions = {
             "list": self._list,
             "get": self._get,
@@ -44,7 +44,7 @@
         print_record(self._read(_name(arguments)))
 
     def _apply(self, arguments: Sequence[str]) -> None:
-        """Write each document of the file, on the version that is current."""
+        """Write each document of the file, on top of its current version."""
         from piershore.settings.exceptions import InvalidSettingsError
         from piershore.settings.load import load_documents
 
@@ -63,7 +63,7 @@
         print_rows(rows)
 
     def _edit(self, arguments: Sequence[str]) -> None:
-        """Change fields given as ``path=JSON``, such as ``overrides.x=3``."""
+        """Change fields that are given as ``path=JSON``, such as ``overrides.x=3``."""
         name = _name(arguments)
         if len(arguments) < 2:
             raise CommandError(ExitCode.USAGE, f"usage: piershore {self.usage}")
@@ -105,7 +105,7 @@
 
 @command("template")
 class TemplateCommand(ObjectCommand):
-    """Verbs on account templates."""
+    """Lists, shows and changes account templates."""
 
     usage = f"template {USAGE}"
     summary = "List, show and change account templates."
@@ -116,7 +116,7 @@
 
 @command("account")
 class AccountCommand(ObjectCommand):
-    """Verbs on client accounts."""
+    """Lists, shows and changes client accounts."""
 
     usage = f"account {USAGE}"
     summary = "List, show and change client accounts."
@@ -127,7 +127,7 @@
 
 @command("service")
 class ServiceCommand(ObjectCommand):
-    """Verbs on services."""
+    """Lists, shows and changes services."""
 
     usage = f"service {USAGE}"
     summary = "List, show and change services."
--- a/src/piershore/commands/options.py
+++ b/src/piershore/commands/options.py
@@ -1,4 +1,4 @@
-"""Flags of the program."""
+"""Command-line flags, shared by all verbs."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 GATEWAY = flags.DEFINE_string(
     "gateway",
     os.environ.get("PIERSHORE_GATEWAY", "http://127.0.0.1:8080"),
-    "address of a gateway's HTTP API, also PIERSHORE_GATEWAY",
+    "URL of a gateway's HTTP API, also set by PIERSHORE_GATEWAY",
 )
 KEY = flags.DEFINE_string(
     "key",
     os.environ.get("PIERSHORE_OPERATOR_KEY"),
-    "operator's key, also PIERSHORE_OPERATOR_KEY",
+    "operator's key, also set by PIERSHORE_OPERATOR_KEY",
 )
-OUTPUT = flags.DEFINE_enum("output", "table", ["table", "json"], "form of the output")
+OUTPUT = flags.DEFINE_enum("output", "table", ["table", "json"], "output format")
 VERSION = flags.DEFINE_integer(
-    "version", None, "version that the edit was made on; 0 creates"
+    "version", None, "version that the edit is based on; 0 creates the object"
 )
 METRICS_PORT = flags.DEFINE_integer(
     "metrics_port", None, "port on which a gateway of the platform serves its metrics"
@@ -36,16 +36,18 @@
     "lengths",
     "mean",
     ["mean", "median"],
-    "what a gateway of the platform expects of outputs; the second is a baseline",
+    "which output length a gateway of the platform expects; median is a baseline",
 )
 WITHOUT = flags.DEFINE_multi_enum_class(
-    "without", [], Mechanism, "mechanisms that a gateway leaves out, for experiments"
+    "without", [], Mechanism, "mechanisms that a gateway doesn't use, for experiments"
+)
+WINDOW = flags.DEFINE_float(
+    "window", 2.0, "seconds covered by each row of a table by time", 0.1
 )
-WINDOW = flags.DEFINE_float("window", 2.0, "seconds of each row by moment", 0.1)
 LONGEST_PAUSE = flags.DEFINE_float(
     "longest_pause", 0.18, "pause in seconds above which a stream counts as late", 0.0
 )
-UNDO = flags.DEFINE_bool("undo", False, "end a drain instead")
+UNDO = flags.DEFINE_bool("undo", False, "end the drain instead of starting it")
 
 NAMES = (
     "config",
--- a/src/piershore/commands/output.py
+++ b/src/piershore/commands/output.py
@@ -1,4 +1,4 @@
-"""Printing of results as a table or as JSON."""
+"""Prints results as a table or as JSON."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def print_rows(rows: Sequence[dict[str, object]]) -> None:
-    """Print rows that share their columns."""
+    """Print rows that have the same columns."""
     if OUTPUT.value == "json":
         print(orjson.dumps(list(rows), option=orjson.OPT_INDENT_2).decode())
         return
@@ -19,7 +19,7 @@
 
 
 def print_record(record: dict[str, object]) -> None:
-    """Print one record, a line a field."""
+    """Print one record, one field per line."""
     if OUTPUT.value == "json":
         print(orjson.dumps(record, option=orjson.OPT_INDENT_2).decode())
         return
--- a/src/piershore/commands/process.py
+++ b/src/piershore/commands/process.py
@@ -1,4 +1,4 @@
-"""What the verbs that run a process share."""
+"""Loads the settings of the verbs that run a process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def load_settings(kind: str) -> Document:
-    """Read the file that `--config` names."""
+    """Read the file that `--config` names; raise `CommandError` if it is invalid."""
     if CONFIG.value is None:
         raise CommandError(ExitCode.USAGE, "--config FILE is missing")
     try:
--- a/src/piershore/commands/rollout_command.py
+++ b/src/piershore/commands/rollout_command.py
@@ -12,14 +12,14 @@
 
 @command("rollout")
 class RolloutCommand(Command):
-    """Show how far a version has come."""
+    """Show on how many boxes a configuration version is in force."""
 
     usage = "rollout VERSION"
-    summary = "Show on how many boxes a version is in force."
+    summary = "Show on how many boxes a configuration version is in force."
     example = "piershore rollout 42"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Print the rollout; succeed only if it is complete."""
+        """Print the rollout; return `FAILED` unless it is complete."""
         if len(arguments) != 1 or not arguments[0].isdigit():
             raise CommandError(ExitCode.USAGE, f"usage: piershore {self.usage}")
         rollout = call_admin("GET", f"rollout/{arguments[0]}")
--- a/src/piershore/commands/status_command.py
+++ b/src/piershore/commands/status_command.py
@@ -11,13 +11,13 @@
 
 @command("status")
 class StatusCommand(Command):
-    """Show all boxes."""
+    """Show the state of all boxes."""
 
     usage = "status"
-    summary = "Show every box: its state, work and configuration."
+    summary = "Show the state, work and configuration of every box."
     example = "piershore status --gateway http://127.0.0.1:8080"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Print a row for each box."""
+        """Print one row per box."""
         print_rows(call_admin("GET", "status")["boxes"])
         return ExitCode.OK
--- a/src/piershore/commands/validate_command.py
+++ b/src/piershore/commands/validate_command.py
@@ -14,14 +14,14 @@
 
 @command("validate")
 class ValidateCommand(Command):
-    """Check files."""
+    """Check files with settings and objects."""
 
     usage = "validate FILE..."
-    summary = "Check settings and objects, and report every fault with its line."
+    summary = "Check settings and objects, and report every error with its line."
     example = "piershore validate examples/adebayo/accounts.yaml"
 
     def run(self, arguments: Sequence[str]) -> ExitCode:
-        """Check all files and print what was found."""
+        """Check all files and print the errors, or the valid documents."""
         if not arguments:
             raise CommandError(ExitCode.USAGE, "FILE is missing")
         findings = []
