--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -1,40 +1,42 @@
 @leaving_gets_no_new_work
-Feature: An endpoint that is leaving gets no new work
+Feature: A leaving endpoint gets no new requests
 
-  Scenario Outline: An order desk leaves <way>, <condition>
+  Scenario Outline: An endpoint of the order desk leaves <way>, <condition>
     Given a running deployment
     And <condition>
-    And long calls run at both order desks
+    And long calls run at both endpoints of the order desk
     When order-1 leaves <way>
-    Then calls go on running, all of them at order-2
+    Then new calls run only at order-2
     And no call was refused
-    And the long calls come whole
+    And the long calls complete
 
     Examples:
-      | way                       | condition                                   |
-      | by SIGTERM                | all is well                                 |
-      | by SIGTERM                | the platform is out                         |
-      | by an operator's drain    | all is well                                 |
-      | by the platform's list    | all is well                                 |
-      | by the platform's list    | the list lags by 1 s                        |
+      | way                                | condition                          |
+      | by SIGTERM                         | nothing else happens               |
+      | by SIGTERM                         | the platform is unavailable        |
+      | by an operator's drain             | nothing else happens               |
+      | by its entry in the platform's list | nothing else happens              |
+      | by its entry in the platform's list | the platform's list lags by 1 s   |
 
-  Scenario: A drained endpoint that is started again stays drained until the drain ends
+  Scenario: A drained endpoint stays drained after a restart, until the drain is ended
     Given a running deployment
-    And all is well
+    And nothing else happens
     When order-1 leaves by an operator's drain
-    And order-1 is started again
-    Then calls go on running, all of them at order-2
+    And order-1 is restarted
+    Then new calls run only at order-2
     When the drain of order-1 is ended
-    Then order-1 gets work again
+    Then order-1 gets calls again
 
-  # The old link stayed as a second one to the same process, as long as that lived.
-  Scenario: An agent's next life is found before its announcement
+  # A link that reconnected to the new agent before its announcement was kept beside the
+  # one that the announcement opened: two links to one process, until that ended.
+  Scenario: A link reconnects to a restarted agent before the agent is announced
     Given a gateway whose link was opened again before it heard who is there now
     When the new agent's announcement comes
     Then the gateway goes on with that link and opens no other
 
-  # It led to the agent's next life, beside the link that was opened to that.
-  Scenario: A link whose agent is replaced while it waits to be opened again
+  # The link reconnected to the agent's next incarnation, beside the link that had been
+  # opened to that one.
+  Scenario: An agent is replaced while its link waits to reconnect
     Given a link that waits to be opened again
     When its agent has been replaced by then
     Then it isn't opened again
--- a/features/planned_stop.feature
+++ b/features/planned_stop.feature
@@ -1,10 +1,10 @@
 @planned_stop_cuts_nothing
-Feature: A planned stop cuts no request in progress
+Feature: A planned stop interrupts no request in progress
 
   Scenario Outline: <name> is stopped under load
     Given a running deployment
-    When <name> is stopped while streams, whole answers and calls are under way
-    Then all of them come whole and the process ends well
+    When <name> is stopped while streams, whole answers and calls run
+    Then all of them complete and the process exits with 0
 
     Examples:
       | name      |
@@ -12,10 +12,10 @@
       | order-1   |
       | gateway-1 |
 
-  Scenario Outline: <name> is told to stop again while it stops
+  Scenario Outline: <name> gets SIGTERM again while it stops
     Given a running deployment
-    When <name> is told to stop again and again under load
-    Then all of them come whole and the process ends well
+    When <name> gets SIGTERM repeatedly under load
+    Then all of them complete and the process exits with 0
 
     Examples:
       | name      |
@@ -23,10 +23,10 @@
       | order-1   |
       | gateway-1 |
 
-  Scenario: a gateway on the platform is told to stop again until its process has ended
-    Then it ends with 0 each of 3 times
+  Scenario: a gateway on the platform gets SIGTERM until its process has ended
+    Then it exits with 0 each of 3 times
 
-  Scenario: Rolling replacement of all processes under load
+  Scenario: Rolling restart of all processes under load
     Given a running deployment
     When every agent and gateway is replaced in turn under load
-    Then every request of all rounds came whole
+    Then all requests of all rounds completed
--- a/features/steps/common_steps.py
+++ b/features/steps/common_steps.py
@@ -1,4 +1,4 @@
-"""Steps that several features share."""
+"""Steps that are shared by several features."""
 
 from __future__ import annotations
 
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps on endpoints and gateways that leave."""
+"""Steps for endpoints and gateways that leave or are stopped."""
 
 from __future__ import annotations
 
@@ -21,24 +21,25 @@
 SHORTEST_GAP_SECONDS = 0.002
 
 
-@given("all is well")
+@given("nothing else happens")
 def do_nothing(context):
     pass
 
 
-@given("the platform is out")
+@given("the platform is unavailable")
 def stop_platform(context):
     context.world.deployment.set_faults(outage=True)
 
 
-@given("the list lags by 1 s")
+@given("the platform's list lags by 1 s")
 def lag_list(context):
     context.world.deployment.set_faults(box_lag=1.0)
 
 
-@given("long calls run at both order desks")
+@given("long calls run at both endpoints of the order desk")
 def run_long_calls(context):
-    # An agent without work ends at once, so nothing would show whom it still serves.
+    # An agent without requests exits immediately: it needs running calls to show that
+    # it finishes these and gets no new ones.
     world = context.world
     world.values["long"] = []
 
@@ -53,10 +54,10 @@
         wait_until(lambda: world.tags()[tag], "the call to run")
         return executions_at(world, 1) and executions_at(world, 2)
 
-    wait_until(run_at_both, "calls at both")
+    wait_until(run_at_both, "calls at both endpoints")
 
 
-@then("the long calls come whole")
+@then("the long calls complete")
 def check_long(context):
     assert context.world.values["gone while working"]
     results = [future.result(60) for future in context.world.values["long"]]
@@ -64,7 +65,7 @@
 
 
 def wait_gone(world, name):
-    """Wait until no gateway sends the endpoint work any more."""
+    """Wait until no gateway sends the endpoint requests, and record if calls still run."""
     for gateway in GATEWAYS:
 
         def is_gone(gateway=gateway):
@@ -72,7 +73,7 @@
             states = [box["state"] for box in boxes if box["box"] == name]
             return not states or states[0] != "live"
 
-        wait_until(is_gone, f"{name} to be gone at {gateway}")
+        wait_until(is_gone, f"{gateway} to stop using {name}")
     long_calls = world.values.get("long", ())
     world.values["gone while working"] = any(not call.done() for call in long_calls)
 
@@ -91,7 +92,7 @@
     wait_gone(world, "order-1")
 
 
-@when("order-1 leaves by the platform's list")
+@when("order-1 leaves by its entry in the platform's list")
 def leave_by_list(context):
     world = context.world
     address = world.deployment.address("order-1")
@@ -99,7 +100,7 @@
     wait_gone(world, "order-1")
 
 
-@when("order-1 is started again")
+@when("order-1 is restarted")
 def start_again(context):
     world = context.world
     process = world.deployment.process("order-1")
@@ -115,7 +116,7 @@
     answer.raise_for_status()
 
 
-@then("calls go on running, all of them at order-2")
+@then("new calls run only at order-2")
 def check_elsewhere(context):
     world = context.world
     before = executions_at(world, 1)
@@ -133,7 +134,7 @@
     assert not refused, refused
 
 
-@then("order-1 gets work again")
+@then("order-1 gets calls again")
 def check_works(context):
     world = context.world
     before = executions_at(world, 1)
@@ -142,7 +143,7 @@
         world.caller().call(SERVICE, PLAIN_KIND, tag="again")
         return executions_at(world, 1) > before
 
-    wait_until(has_work, "work at order-1")
+    wait_until(has_work, "a call at order-1")
 
 
 def executions_at(world, number):
@@ -150,7 +151,7 @@
     return sum(world.deployment.client.get(url).json()["tags"].values())
 
 
-@when("{name} is stopped while streams, whole answers and calls are under way")
+@when("{name} is stopped while streams, whole answers and calls run")
 def stop_under_load(context, name):
     world = context.world
     start_load(world, 8)
@@ -185,7 +186,7 @@
     return total
 
 
-@when("{name} is told to stop again and again under load")
+@when("{name} gets SIGTERM repeatedly under load")
 def stop_again(context, name):
     stop_under_load(context, name)
     process = context.world.values["stopped"]
@@ -196,7 +197,7 @@
 
 
 async def end_gateway(folder):
-    """Return the exit code of a gateway that gets SIGTERM until it has ended."""
+    """Return the exit code of a gateway that gets SIGTERM until it exits."""
     fleet = Fleet(Path(folder), 1, {"desk": 1})
     try:
         async with trio.open_nursery() as nursery:
@@ -213,7 +214,7 @@
         fleet.close()
 
 
-@then("it ends with 0 each of {times:d} times")
+@then("it exits with 0 each of {times:d} times")
 def check_ends(context, times):
     codes = []
     for _ in range(times):
@@ -222,7 +223,7 @@
     assert codes == [0] * times, codes
 
 
-@then("all of them come whole and the process ends well")
+@then("all of them complete and the process exits with 0")
 def check_load(context):
     world = context.world
     results = [future.result(90) for future in world.values["load"]]
@@ -251,7 +252,7 @@
         world.wait_serving()
 
 
-@then("every request of all rounds came whole")
+@then("all requests of all rounds completed")
 def check_rounds(context):
     faulty = [r for r in context.world.results if not r.is_whole]
     assert context.world.results and not faulty, faulty
--- a/features/steps/own_rate_steps.py
+++ b/features/steps/own_rate_steps.py
@@ -1,4 +1,4 @@
-"""Steps for rates that are named behind the product's own interface."""
+"""Steps for rate limits that endpoints advertise to their agents."""
 
 from __future__ import annotations
 
@@ -30,7 +30,9 @@
 }
 
 
-@when("{endpoint} names 2 requests a second to its agent, and 40 come within 4 s")
+@when(
+    "{endpoint} advertises 2 requests a second to its agent, and 40 arrive within 4 s"
+)
 def name_to_agent(context, endpoint):
     standin, sender = ENDPOINTS[endpoint]
 
@@ -59,14 +61,14 @@
     play(context, OwnAgent(standin()), script)
 
 
-@then("it gets what it takes from its agent, and no more")
+@then("its agent uses the rate limit and never exceeds it")
 def check_sent(context):
     most = most_in_window(context.times, 0.0)
     assert most <= allowed_requests(RATE), most
     assert len(context.times) >= RATE * WINDOW_SECONDS * 0.8, len(context.times)
 
 
-@then("the others are refused as unrun with {code} and a time to come back")
+@then("the others are refused as not run with {code} and a time to retry")
 def check_refused(context, code):
     ends = [context.agent.of(number) for number in range(2, 2 + COUNT)]
     refused = [message for kinds, message in ends if kinds[-1] == "refused"]
@@ -77,12 +79,12 @@
         assert 0 < message.retry_after_seconds <= WINDOW_SECONDS, message
 
 
-@then("once it names no rate any more it gets what comes")
+@then("once it advertises no rate limit, no request is refused")
 def check_later(context):
     assert "refused" not in context.later, context.later
 
 
-@then("in any 4 s they are no more than the rate allows, and one second's worth")
+@then("in any 4 s there are at most as many permits as the rate allows, plus 1 s worth")
 def check_permits(context):
     @checked(
         st.floats(0.1, 100),
@@ -103,7 +105,9 @@
         assert most_in_window(sent, 0.0) <= rate * WINDOW_SECONDS + burst
 
 
-@then("an answer without a rate ends it, unless it has crossed one that named it")
+@then(
+    "an answer without a rate ends the agent's limit, unless it overlaps one with a rate"
+)
 def check_end(context):
     limit = EndpointRateLimiter()
     assert limit.try_acquire(0.0)
@@ -115,5 +119,7 @@
     limit.record_answer(None, 1.0 + MAX_REORDERING_SECONDS)
     assert limit.try_acquire(1.0 + MAX_REORDERING_SECONDS)
     limit.record_answer(0.0, 3.0)
-    assert limit.try_acquire(3.0), "nobody finds out when that is over"
+    assert limit.try_acquire(3.0), (
+        "one request must probe whether a rate of 0 still applies"
+    )
     assert not limit.try_acquire(4.0)
--- a/features/steps/own_rest_steps.py
+++ b/features/steps/own_rest_steps.py
@@ -1,4 +1,4 @@
-"""Steps for rests that are asked for behind the product's own interface."""
+"""Steps for backoffs that endpoints request of their agents."""
 
 from __future__ import annotations
 
@@ -41,7 +41,10 @@
 
 
 class OwnAgent:
-    """The work of one agent before a stand-in; `frames` is what its gateway got."""
+    """The worker of one agent in front of a stand-in for its endpoint.
+
+    `frames` are the frames that the agent has sent to its gateway.
+    """
 
     def __init__(self, standin):
         self.standin = standin
@@ -57,7 +60,10 @@
         self.frames.append(frame)
 
     def of(self, request):
-        """Return the kinds of frames that a request has got, and the last of them."""
+        """Return the kinds of frames sent for a request, and the body of the last one.
+
+        Token frames are left out.
+        """
         bodies = [(f.WhichOneof("body"), f) for f in self.frames]
         own = [(b, getattr(f, b)) for b, f in bodies if b != "tokens"]
         own = [(b, m) for b, m in own if m.request == request]
@@ -129,7 +135,7 @@
 
 
 async def send_around_rest(context, agent, send, served):
-    """Send requests during a rest that the first one is told of, and one after it."""
+    """Send one request that gets the backoff, more during it, and one after it."""
     agent.standin.shedding.shed(SHED_SECONDS, REST_SECONDS)
     send(1)
     await agent.wait_for(1, "refused", "ended", "answered")
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -1,4 +1,4 @@
-"""What a scenario works with: a deployment, callers, streams and relays."""
+"""The state of a scenario: its deployment, callers, streams and link relays."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
     def join(self) -> None:
         self._thread.join(90)
-        assert not self._thread.is_alive(), "the stream goes on and on"
+        assert not self._thread.is_alive(), "the stream has not ended"
 
     def fault(self) -> str:
         return token_fault(self.text, self._length)
@@ -83,7 +83,7 @@
 
 
 class World:
-    """State of one scenario."""
+    """The deployment of one scenario and what was sent to it."""
 
     def __init__(self) -> None:
         self.deployment = Deployment()
@@ -115,7 +115,12 @@
         standins_only: bool = False,
         aperture: int = 32,
     ) -> None:
-        """Start a small deployment of the first example."""
+        """Start a small deployment with the example configuration `adebayo`.
+
+        Agents are reached over relays if `relayed`; only the platform, engines and
+        services run if `standins_only`. Each gateway links to at most `aperture`
+        endpoints of a service.
+        """
         deployment = self.deployment
         self.has_all_links = aperture >= len(NUMBERS)
         deployment.start_platform()
@@ -155,7 +160,7 @@
             self.wait_owners(gateway)
 
     def wait_owners(self, gateway: str) -> None:
-        """Wait until non-repeatable calls have owners at a gateway."""
+        """Wait until a gateway issues keys for non-repeatable calls."""
         url = f"{self.deployment.url(gateway)}/v1/keys/{SERVICE}"
         headers = {"Authorization": "Bearer key-surulere"}
         client = self.deployment.client
@@ -183,7 +188,7 @@
         return self.caller(gateway).call(SERVICE, ONCE_KIND, key, **arguments)
 
     def executions(self) -> Counter:
-        """Return how often each key was executed, by all services together."""
+        """Return how often all services together have executed each key."""
         return self._counted("keys")
 
     def tags(self) -> Counter:
