--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -11,12 +11,12 @@
     And the long calls complete
 
     Examples:
-      | way                                | condition                          |
-      | by SIGTERM                         | nothing else happens               |
-      | by SIGTERM                         | the platform is unavailable        |
-      | by an operator's drain             | nothing else happens               |
-      | by its entry in the platform's list | nothing else happens              |
-      | by its entry in the platform's list | the platform's list lags by 1 s   |
+      | way                                 | condition                       |
+      | by SIGTERM                          | nothing else happens            |
+      | by SIGTERM                          | the platform is unavailable     |
+      | by an operator's drain              | nothing else happens            |
+      | by its entry in the platform's list | nothing else happens            |
+      | by its entry in the platform's list | the platform's list lags by 1 s |
 
   Scenario: A drained endpoint stays drained after a restart, until the drain is ended
     Given a running deployment
--- a/features/own_rate_limits.feature
+++ b/features/own_rate_limits.feature
@@ -18,5 +18,5 @@
     Then its gateway chooses others, and it again after that time
 
   Scenario: permits of an agent's rate limiter
-    Then in any 4 s there are at most as many permits as the rate allows, plus 1 s worth
+    Then in any 4 s there are no more permits than the rate allows and one second's worth
     And an answer without a rate ends the agent's limit, unless it overlaps one with a rate
--- a/features/planned_stop.feature
+++ b/features/planned_stop.feature
@@ -4,7 +4,7 @@
   Scenario Outline: <name> is stopped under load
     Given a running deployment
     When <name> is stopped while streams, whole answers and calls run
-    Then all of them complete and the process exits with 0
+    Then all of them complete and the process exits successfully
 
     Examples:
       | name      |
@@ -15,7 +15,7 @@
   Scenario Outline: <name> gets SIGTERM again while it stops
     Given a running deployment
     When <name> gets SIGTERM repeatedly under load
-    Then all of them complete and the process exits with 0
+    Then all of them complete and the process exits successfully
 
     Examples:
       | name      |
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -223,7 +223,7 @@
     assert codes == [0] * times, codes
 
 
-@then("all of them complete and the process exits with 0")
+@then("all of them complete and the process exits successfully")
 def check_load(context):
     world = context.world
     results = [future.result(90) for future in world.values["load"]]
--- a/features/steps/own_rate_steps.py
+++ b/features/steps/own_rate_steps.py
@@ -84,7 +84,9 @@
     assert "refused" not in context.later, context.later
 
 
-@then("in any 4 s there are at most as many permits as the rate allows, plus 1 s worth")
+@then(
+    "in any 4 s there are no more permits than the rate allows and one second's worth"
+)
 def check_permits(context):
     @checked(
         st.floats(0.1, 100),
