--- a/src/piershore/telemetry/ingress_metrics.py
+++ b/src/piershore/telemetry/ingress_metrics.py
@@ -11,19 +11,19 @@
 
 REFUSALS = Counter(
     "piershore_ingress_refusals_total",
-    "Requests that the gateway refused itself, by code and status.",
+    "Answers that the gateway gave by itself.",
     ["code", "status"],
     registry=REGISTRY,
 )
 ATTEMPTS = Counter(
     "piershore_ingress_failed_attempts_total",
-    "Attempts that ended without an answer to forward, by outcome.",
+    "Attempts at endpoints without an answer to pass on, by outcome.",
     ["outcome"],
     registry=REGISTRY,
 )
 RETRIES = Counter(
     "piershore_ingress_retries_total",
-    "Retried requests, by the outcome of the previous attempt.",
+    "Requests sent again, by the outcome of the attempt before.",
     ["outcome"],
     registry=REGISTRY,
 )
@@ -35,26 +35,26 @@
 )
 SILENCES = Counter(
     "piershore_ingress_silences_total",
-    "Streams silent for far longer than their endpoint's pace, by decision.",
+    "Streams that paused far longer than their endpoint's pace, by what was done.",
     ["verdict"],
     registry=REGISTRY,
 )
 BROKEN_STREAMS = Counter(
     "piershore_ingress_broken_streams_total",
-    "Streams that ended before they were complete, by reason.",
+    "Streams ended before they were whole, by reason.",
     ["reason"],
     registry=REGISTRY,
 )
 WHOLE_SECONDS = Histogram(
     "piershore_ingress_whole_seconds",
-    "Time from arrival to the complete answer.",
+    "From arrival to the whole answer.",
     ["kind"],
     buckets=SECONDS,
     registry=REGISTRY,
 )
 FIRST_SECONDS = Histogram(
     "piershore_ingress_first_seconds",
-    "Time from arrival to the first event of a stream.",
+    "From arrival to the first event of a stream.",
     buckets=SECONDS,
     registry=REGISTRY,
 )
@@ -66,90 +66,88 @@
 )
 CONFIG_VERSION = Gauge(
     "piershore_ingress_config_version",
-    "Version of the configuration in force.",
+    "Version in force.",
     registry=REGISTRY,
 )
 LOAD_NOTES = Counter(
     "piershore_ingress_load_notes_total",
-    "Datagrams that report a started generation to peers sharing the endpoint.",
+    "Datagrams sent to peers that share an endpoint, since a generation began there.",
     registry=REGISTRY,
 )
 DOCUMENT_BYTES = Counter(
     "piershore_ingress_document_bytes_total",
-    "Compressed bytes read from peers, by document.",
+    "Bytes read from peers, by document; compressed.",
     ["document"],
     registry=REGISTRY,
 )
 ENDPOINTS = Gauge(
     "piershore_ingress_endpoints",
-    "Known endpoints, by stage.",
+    "Endpoints known, by stage.",
     ["stage"],
     registry=REGISTRY,
 )
 STORE_ERA = Gauge(
     "piershore_ingress_store_era",
-    "Times that the store was restored from an older copy, from its answers.",
+    "How often the store had come back from an older copy, as its answers tell.",
     registry=REGISTRY,
 )
 RESTING = Gauge(
     "piershore_ingress_resting_endpoints",
-    "Endpoints that have asked this gateway to back off.",
+    "Endpoints that have asked this gateway for rest.",
     registry=REGISTRY,
 )
 NOTICES = Counter(
     "piershore_ingress_notices_total",
-    "Answers in which endpoints leave, ask for a backoff or advertise a rate.",
+    "Answers in which endpoints said that they leave, asked for rest or named a rate.",
     ["kind"],
     registry=REGISTRY,
 )
 RATE_LIMITS = Gauge(
     "piershore_ingress_endpoint_rate_limit",
-    "Requests per second from all gateways that an endpoint advertises.",
+    "Requests a second that an endpoint takes from all gateways, where it names them.",
     ["endpoint"],
     registry=REGISTRY,
 )
 RATE_PARTS = Gauge(
     "piershore_ingress_endpoint_rate_part",
-    "This gateway's quota of the endpoint's rate limit.",
+    "This gateway's part of that.",
     ["endpoint"],
     registry=REGISTRY,
 )
 EXPECTED_TOKENS = Counter(
     "piershore_ingress_expected_tokens_total",
-    "Expected output tokens of completed generations, by route.",
+    "Tokens that were expected of the generations that ended whole, by route.",
     ["route"],
     registry=REGISTRY,
 )
 MADE_TOKENS = Counter(
     "piershore_ingress_made_tokens_total",
-    "Actual output tokens of completed generations, by route.",
+    "Tokens that those generations made, by route.",
     ["route"],
     registry=REGISTRY,
 )
 DRAINED_HALLS = Gauge(
     "piershore_ingress_drained_halls",
-    "Data halls that operators have drained.",
+    "Data halls that get nothing new, since operators drain them.",
     registry=REGISTRY,
 )
 SUSPECTED = Counter(
     "piershore_ingress_suspected_requests_total",
-    "Requests that an endpoint had just begun to run when it crashed.",
+    "Requests that endpoints had just begun to run when they crashed.",
     registry=REGISTRY,
 )
 QUARANTINED = Gauge(
     "piershore_ingress_quarantined_requests",
-    "Quarantined requests: endpoints crashed while they ran them.",
+    "Requests that are not sent on, since endpoints crashed under them.",
     registry=REGISTRY,
 )
 RETRIES_LEFT = Gauge(
     "piershore_ingress_retries_left",
-    "Retries left to this gateway in the current window, by service.",
+    "Retries that this gateway may still make in the present window, by service.",
     ["service"],
     registry=REGISTRY,
 )
-PEERS = Gauge(
-    "piershore_ingress_peers", "Peers with a recent report.", registry=REGISTRY
-)
+PEERS = Gauge("piershore_ingress_peers", "Peers heard of late.", registry=REGISTRY)
 IN_FLIGHT = Gauge(
-    "piershore_ingress_in_flight", "Requests in flight.", registry=REGISTRY
+    "piershore_ingress_in_flight", "Requests under way.", registry=REGISTRY
 )
--- a/src/piershore/telemetry/metrics.py
+++ b/src/piershore/telemetry/metrics.py
@@ -17,18 +17,16 @@
 )
 RETRIES = Counter(
     "piershore_retries_total",
-    "Retried requests, by the reason of the failed attempt.",
+    "Requests tried again, by the reason of the failed try.",
     ["reason"],
     registry=REGISTRY,
 )
 ANSWERS = Counter(
-    "piershore_answers_total", "Complete answers.", ["type"], registry=REGISTRY
-)
-TOKENS = Counter(
-    "piershore_tokens_total", "Tokens forwarded to callers.", registry=REGISTRY
+    "piershore_answers_total", "Whole answers given.", ["type"], registry=REGISTRY
 )
+TOKENS = Counter("piershore_tokens_total", "Tokens passed on.", registry=REGISTRY)
 RESUMES = Counter(
-    "piershore_resumes_total", "Streams resumed.", ["by"], registry=REGISTRY
+    "piershore_resumes_total", "Streams attached again.", ["by"], registry=REGISTRY
 )
 STALLS = Counter(
     "piershore_stalls_total",
@@ -42,18 +40,18 @@
 )
 PREEMPTIONS = Counter(
     "piershore_preemptions_total",
-    "Preempted generations.",
+    "Generations paused midway.",
     registry=REGISTRY,
 )
 FIRST_TOKEN_SECONDS = Histogram(
     "piershore_first_token_seconds",
-    "Time from a request's arrival to its first token.",
+    "From a request's arrival to its first token.",
     buckets=FIRST_TOKEN_BUCKETS,
     registry=REGISTRY,
 )
 TOKEN_GAP_SECONDS = Histogram(
     "piershore_token_gap_seconds",
-    "Time between consecutive frames of a stream.",
+    "Between the frames of one stream.",
     buckets=PACE_BUCKETS,
     registry=REGISTRY,
 )
@@ -69,23 +67,23 @@
 )
 STORE_ERA = Gauge(
     "piershore_store_era",
-    "Times that the store was restored from an older copy, from its answers.",
+    "How often the store had come back from an older copy, as its answers tell.",
     registry=REGISTRY,
 )
 EDITS_RESTORED = Counter(
     "piershore_edits_restored_total",
-    "Accepted edits that the store had lost and that were written to it again.",
+    "Accepted edits that the store had lost and that were written again.",
     registry=REGISTRY,
 )
 EDIT_OFFERS = Counter(
     "piershore_edit_offers_total",
-    "Accepted edits offered to relays, by whether the relay accepted them.",
+    "Accepted edits handed to relays, by whether they were taken.",
     ["taken"],
     registry=REGISTRY,
 )
 LINKS = Gauge("piershore_links", "Open streams to agents.", registry=REGISTRY)
-RUNNING = Gauge("piershore_running", "Running generations or calls.", registry=REGISTRY)
-QUEUED = Gauge("piershore_queued", "Queued requests.", registry=REGISTRY)
+RUNNING = Gauge("piershore_running", "Generations or calls running.", registry=REGISTRY)
+QUEUED = Gauge("piershore_queued", "Requests in the queue.", registry=REGISTRY)
 PLATFORM_ERRORS = Counter(
     "piershore_platform_errors_total",
     "Failed calls to the platform, by code.",
