--- a/features/endpoint_rate_limits.feature
+++ b/features/endpoint_rate_limits.feature
@@ -13,7 +13,7 @@
     And no call is refused
 
   Scenario: an endpoint gets more than its rate limit
-    Given 2 gateways before sound endpoints
+    Given 2 gateways before healthy endpoints
     When an endpoint of the desk advertises 2 requests a second while calls come
     Then gateways that know of the limit never send more than it allows
     And all calls are served
@@ -45,7 +45,7 @@
       | 421    | 2.4         | nothing |
 
   Scenario: an invalid rate leaves the last one in force
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an endpoint advertises 2 requests a second and then "soon"
     Then it is limited to 2 requests a second
 
@@ -65,7 +65,7 @@
     Then it gets one each 10 s from all gateways together
 
   Scenario Outline: all endpoints of <service> are limited
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When all endpoints of <service> advertise 1 request a second, and 6 come at once
     Then some are served and the others refused within 0.2 s as not run
     And each refusal has another Retry-After
@@ -78,12 +78,12 @@
   # The refusal said that all endpoints had requested backoffs, and a gateway without a
   # quota sent no Retry-After.
   Scenario: all endpoints accept no requests at all, and a caller is told when to retry
-    Given 2 gateways before sound endpoints
+    Given 2 gateways before healthy endpoints
     When all endpoints of the desk advertise a rate of 0, and a call comes to each gateway
     Then each is refused with endpoints_limited, to retry within 30 s
 
   Scenario: a rate limit is advertised while a call connects to the endpoint
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an endpoint's rate limit is reached while a call to it connects
     Then the call is served elsewhere
 
@@ -96,7 +96,7 @@
     Then an endpoint whose rate limit is reached gets no backup and no move
 
   Scenario: the log shows why an endpoint was skipped
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an endpoint's rate limit is reached, and then a call is served
     Then the log of that call names the endpoint as limited
     And the log has the limit and this gateway's quota of it
--- a/features/foreign_entries.feature
+++ b/features/foreign_entries.feature
@@ -23,7 +23,7 @@
       | a start time that is a fraction    |
 
   Scenario: an entry becomes invalid, and valid again
-    Given a gateway before sound endpoints
+    Given a gateway before healthy endpoints
     When the entry of a desk endpoint is overwritten and repaired
     Then it gets no requests in between, and requests again afterwards
 
--- a/features/ingress_calls.feature
+++ b/features/ingress_calls.feature
@@ -56,7 +56,7 @@
 
   @not_run_means_not_run
   Scenario Outline: a request that is refused: <fault>
-    Given a gateway before sound endpoints
+    Given a gateway before healthy endpoints
     When a caller sends the faulty request "<fault>"
     Then its status is <status> and it ran 0 times
 
@@ -77,14 +77,14 @@
       | no key            | 401    |
 
   Scenario: headers that only the gateway may set, and hop-by-hop headers
-    Given a gateway before sound endpoints
+    Given a gateway before healthy endpoints
     When a caller sends headers that only the gateway may set
     Then the endpoint gets none of them with the caller's value
     And the endpoint gets the account, its own identity and the remaining time
 
   @not_run_means_not_run
   Scenario Outline: the process is suspended past the deadline of a <kind> request
-    Given a gateway before sound endpoints
+    Given a gateway before healthy endpoints
     When a caller sends a "<kind>" request and the process is suspended
     Then its status is 503 and it ran 0 times
 
@@ -100,7 +100,7 @@
     Then they show the retry, the configuration, the endpoints and the retry budget
 
   Scenario: endpoints whose addresses are now used by others
-    Given a gateway before sound endpoints
+    Given a gateway before healthy endpoints
     When two desk endpoints are replaced by others at the same addresses
     Then a "once" request runs once, at the third endpoint
 
--- a/features/ingress_documents.feature
+++ b/features/ingress_documents.feature
@@ -54,6 +54,6 @@
     Then each gateway serves an added route within 40 s
 
   Scenario: a report that is too large for a datagram
-    Given 2 gateways before sound endpoints
+    Given 2 gateways before healthy endpoints
     When the first has work at 3000 endpoints for 3 s
     Then the second counts it as live all the time
--- a/features/ingress_start.feature
+++ b/features/ingress_start.feature
@@ -52,6 +52,6 @@
 
   @not_run_means_not_run
   Scenario: all gateways stop at once and refuse a long stream
-    Given 2 gateways before sound endpoints
+    Given 2 gateways before healthy endpoints
     When both have been stopping for some seconds and a caller requests a long stream
     Then it is refused with the time after which a gateway serves again
--- a/features/leaving_in_answers.feature
+++ b/features/leaving_in_answers.feature
@@ -11,13 +11,13 @@
     Then no call that came 2 s after such an answer is sent there by the same gateway
 
   Scenario: an endpoint announces that it leaves while its entry is ready
-    Given 2 gateways before sound endpoints
+    Given 2 gateways before healthy endpoints
     When an endpoint of the desk announces in its answers that it leaves
     Then the gateway that received such an answer sends nothing more there
     And 2 s later the other gateway sends nothing there, either
 
   Scenario Outline: the announcement is in <answer>
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an endpoint announces that it leaves in <answer>
     Then the gateway marks it as leaving
 
@@ -32,7 +32,7 @@
       | an answer to a move        |
 
   Scenario Outline: an endpoint stays leaving when <news>
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an endpoint has announced that it leaves, and then <news>
     Then the gateway marks it as leaving
 
@@ -44,23 +44,23 @@
       | its entry is removed and added again |
 
   Scenario: an announcement by another endpoint at the same address is ignored
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When another endpoint answers at an address with 421 and announces that it leaves
     Then the gateway still has that other endpoint as ready
 
   Scenario: an engine with a running stream leaves
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When its engine announces that it leaves in the answer to a probe
     Then the stream is moved and delivered completely
 
   # The answer to a probe because of a silent stream was applied to that stream only.
   Scenario: the report of a probed engine says that it leaves
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an engine's stream falls silent, and its report says that it leaves
     Then the gateway marks it as leaving
 
   Scenario: all endpoints of a service leave
-    Given 2 gateways before sound endpoints
+    Given 2 gateways before healthy endpoints
     When all endpoints of the desk have announced that they leave
     Then a call is refused within 0.2 s with 503 and a Retry-After header
 
--- a/features/requested_backoffs.feature
+++ b/features/requested_backoffs.feature
@@ -14,7 +14,7 @@
     And no call is refused
 
   Scenario: one of three endpoints refuses a gateway's call
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an endpoint of the desk refuses a call and requests a backoff of 1 s
     Then it gets no call from the gateway within that time, and some after it
     And all calls are served
@@ -44,7 +44,7 @@
     And a backoff of one incarnation doesn't apply to the next one
 
   Scenario Outline: all endpoints of <service> request backoffs
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When all endpoints of <service> request a backoff of 10 s
     Then a "<kind>" request is refused within 0.2 s, to retry when the first backoff ends
     And no endpoint got a request within its backoff
@@ -56,7 +56,7 @@
       | the model | stream     |
 
   Scenario Outline: all endpoints have requested backoffs that are about to end
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When a "<kind>" request comes 20 ms before the end of all backoffs
     Then it is served
 
@@ -66,12 +66,12 @@
       | stream |
 
   Scenario: a backoff is requested while a call connects to the endpoint
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an endpoint requests a backoff while a call to it connects
     Then the call is served elsewhere
 
   Scenario: a refusal doesn't say whether the request has run
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an endpoint answers 503 with Retry-After, without saying that nothing ran
     Then the caller isn't told that nothing has run, and the endpoint's backoff applies
 
@@ -87,7 +87,7 @@
       | 0.4     | whole     |
 
   Scenario: the log shows why an endpoint was skipped
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an endpoint requests a backoff, and then a call is served
     Then the log of that call names the endpoint as resting
 
@@ -124,7 +124,7 @@
       | 200  |
 
   Scenario: one of three endpoints refuses a gateway's calls without a backoff
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When an endpoint of the desk refuses calls while 60 come one after the other
     Then at most 4 of them reach it in a second
     And all calls are served
--- a/features/steps/ingress_call_steps.py
+++ b/features/steps/ingress_call_steps.py
@@ -32,19 +32,19 @@
 
 @given('desk endpoints with the faults ""')
 def given_no_faults(context):
-    given_sound(context)
+    given_healthy(context)
 
 
-@given("a gateway before sound endpoints")
-def given_sound(context):
+@given("a gateway before healthy endpoints")
+def given_healthy(context):
     context.ingress = IngressWorld()
     context.ingress.add_endpoints("desk", 3)
     context.ingress.add_endpoints("model", 2)
 
 
-@given("2 gateways before sound endpoints")
+@given("2 gateways before healthy endpoints")
 def given_two(context):
-    given_sound(context)
+    given_healthy(context)
     context.ingress._start_gateways = 2
 
 
--- a/features/steps/ingress_document_steps.py
+++ b/features/steps/ingress_document_steps.py
@@ -9,7 +9,7 @@
 
 import trio
 from behave import given, then, when
-from ingress_call_steps import given_sound
+from ingress_call_steps import given_healthy
 from support.ingress_world import configuration, route, TIMEOUT_MS
 from support.paced_link import PacedLink, PacedStream
 from support.stream_reading import wait_for_peers
@@ -46,7 +46,7 @@
 
 @given("{count:d} gateways whose links to each other carry {rate:d} KB a second")
 def given_paced_gateways(context, count, rate):
-    given_sound(context)
+    given_healthy(context)
     world = context.ingress
     world._start_gateways = count
     links = {}
@@ -65,7 +65,7 @@
 
 @given("{count:d} gateways whose links to the store carry {rate:d} KB a second")
 def given_paced_store(context, count, rate):
-    given_sound(context)
+    given_healthy(context)
     world = context.ingress
     world._start_gateways = count
     link = PacedLink(rate * KILOBYTE)
--- a/features/steps/ingress_store_steps.py
+++ b/features/steps/ingress_store_steps.py
@@ -7,7 +7,7 @@
 
 import trio
 from behave import given, then, when
-from ingress_call_steps import given_sound
+from ingress_call_steps import given_healthy
 from ingress_stream_steps import check_stream
 from support.ingress_world import (
     configuration,
@@ -183,7 +183,7 @@
 
 @when("a call's answer is cut off and the call is cancelled at once")
 def cut_off_and_cancel(context):
-    given_sound(context)
+    given_healthy(context)
     context.ingress._start_gateways = 0
 
     async def script(world):
@@ -226,7 +226,7 @@
 
 @given("a gateway that starts while the store is down")
 def given_outage(context):
-    given_sound(context)
+    given_healthy(context)
     context.ingress._start_gateways = 0
 
     async def script(world):
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -148,9 +148,9 @@
 }
 
 
-@given("1 gateway before sound endpoints")
+@given("1 gateway before healthy endpoints")
 def given_one(context):
-    context.execute_steps("Given a gateway before sound endpoints")
+    context.execute_steps("Given a gateway before healthy endpoints")
 
 
 @when("an endpoint announces that it leaves in {answer}")
--- a/features/store_returns.feature
+++ b/features/store_returns.feature
@@ -52,7 +52,7 @@
     And a drain that isn't written again ends after 3 s
 
   Scenario Outline: invalid eras
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When the store's answers have the era "<era>" after era 3
     Then the gateway continues, and logs the fault once
 
@@ -67,12 +67,12 @@
   # Python refuses to parse an integer of more than 4,300 digits. The error ended the
   # gateway's loop that follows the store.
   Scenario: an era of more digits than Python parses
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When the store's answers have an era of 5000 digits after era 3
     Then the gateway continues, and logs the fault once
 
   Scenario: answers from an earlier era
-    Given 1 gateway before sound endpoints
+    Given 1 gateway before healthy endpoints
     When the store answers from era 2 after era 3
     Then the gateway keeps its state, and applies the store's current state later
 
--- a/features/suspended_box.feature
+++ b/features/suspended_box.feature
@@ -10,7 +10,7 @@
   # A watch was lost during the suspension, and the gateway waited for it as if it had just
   # started.
   Scenario: the list of endpoints became stale during the suspension
-    Given a gateway before sound endpoints
+    Given a gateway before healthy endpoints
     When an endpoint leaves while the box is suspended for 6 s and its watches are lost
     Then the gateway knows that within 1.0 s after the suspension
 
