--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -309,8 +309,8 @@
     Mutant(
         "an answer of the store has a limit for the whole",
         "platform/object_client.py",
-        '        data = b"".join([part async',
-        '        with trio.fail_after(2.1):\n            data = b"".join([part async',
+        '        data = b"".join([chunk async',
+        '        with trio.fail_after(2.1):\n            data = b"".join([chunk async',
         "ingress_documents",
     ),
     Mutant(
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -38,7 +38,7 @@
     raise AssertionError(f"{error.__name__} was not raised")
 
 
-async def write_all(store, world):
+async def write_and_delete(store, world):
     created = await store.put(NAME, b"1", 0, "w1")
     assert (await store.get(NAME)).value == b"1"
     changed = await store.put(NAME, b"2", created.version, "w2")
@@ -51,7 +51,7 @@
     assert again.version > deleted.version
 
 
-async def write_stale(store, world):
+async def write_old_version(store, world):
     first = await store.put(NAME, b"1", 0, "w1")
     second = await store.put(NAME, b"2", first.version, "w2")
     error = await raises(StaleVersionError, store.put(NAME, b"3", first.version, "w3"))
@@ -59,7 +59,7 @@
     await raises(StaleVersionError, store.put(NAME, b"3", 0, "w3"))
 
 
-async def write_racing(store, world):
+async def write_concurrently(store, world):
     first = await store.put(NAME, b"1", 0, "w1")
     won = []
 
@@ -76,7 +76,7 @@
     assert len(won) == 1, won
 
 
-async def write_lost(store, world):
+async def write_with_lost_answer(store, world):
     world.deployment.set_faults(lose_answers=1)
     await raises(WriteUncertainError, store.put(NAME, b"1", 0, "w1"))
     world.deployment.set_faults(lose_answers=1)
@@ -85,7 +85,7 @@
     assert settled.value == b"2" and settled.write_ids[-1] == "w2"
 
 
-async def write_settled_late(store, world):
+async def settle_after_later_writes(store, world):
     world.deployment.set_faults(lose_answers=1)
     await raises(WriteUncertainError, store.put(NAME, b"1", 0, "w1"))
     newest = await store.get(NAME)
@@ -94,7 +94,7 @@
     assert settled == newest and "w1" in settled.write_ids
 
 
-async def out(store, world):
+async def platform_unavailable(store, world):
     world.deployment.set_faults(outage=True)
     for awaitable in (
         store.get(NAME),
@@ -117,7 +117,7 @@
     return found
 
 
-async def watch(store, world):
+async def watch_all_changes(store, world):
     written = [await store.put(NAME, b"0", 0, "w")]
     start = written[0].version
     for number in range(1, 20):
@@ -126,13 +126,13 @@
     assert await collect(store, start, 19) == written[1:]
 
 
-async def watch_gap(store, world):
+async def watch_missed_changes(store, world):
     await store.put(NAME, b"0", 0, "w")
     world.deployment.set_faults(drop_changes=1)
     await raises(WatchGapError, collect(store, 0, 1))
 
 
-async def stale(store, world):
+async def read_stale_copy(store, world):
     first = await store.put(NAME, b"1", 0, "w1")
     world.deployment.set_faults(stale_reads=True)
     second = await store.put(NAME, b"2", first.version, "w2")
@@ -142,14 +142,14 @@
     assert (await store.get(NAME)).version == second.version
 
 
-async def boxes(store, world):
+async def delayed_box_list(store, world):
     world.deployment.enter_box("b", "agent", "hall", "127.0.0.1:1")
     assert [box.name for box in await store.boxes()] == ["b"]
     world.deployment.set_faults(box_lag=60.0)
     assert await store.boxes() == ()
 
 
-async def come_back(store, world):
+async def restore_without_second_write(store, world):
     """Restore the store from a copy that lacks the second of two writes."""
     first = await store.put(NAME, b"1", 0, "w1")
     world.deployment.keep_copy()
@@ -158,16 +158,16 @@
     return first, second
 
 
-async def write_lost_version(store, world):
-    first, second = await come_back(store, world)
+async def write_version_lost_by_store(store, world):
+    first, second = await restore_without_second_write(store, world)
     error = await raises(StaleVersionError, store.put(NAME, b"3", second.version, "w3"))
     assert error.current == first
     snapshot = await store.list()
     assert snapshot.objects == (first,) and snapshot.revision > second.version
 
 
-async def write_version_given_out_again(store, world):
-    _, second = await come_back(store, world)
+async def write_reissued_version(store, world):
+    _, second = await restore_without_second_write(store, world)
     first = await store.get(NAME)
     third = await store.put(NAME, b"3", first.version, "w3")
     assert third.version > second.version
@@ -175,14 +175,14 @@
     assert (await store.get(NAME)).value == b"3"
 
 
-async def watch_over_return(store, world):
-    _, second = await come_back(store, world)
+async def watch_across_restore(store, world):
+    _, second = await restore_without_second_write(store, world)
     other = ObjectName(ObjectKind.ACCOUNT, "b")
     await store.put(other, b"1", 0, "w5")
     await raises(WatchGapError, collect(store, second.version, 1))
 
 
-async def settle_over_return(store, world):
+async def settle_across_restore(store, world):
     first = await store.put(NAME, b"1", 0, "w1")
     world.deployment.keep_copy()
     world.deployment.come_back()
@@ -193,22 +193,20 @@
 
 
 STORE_CASES = {
-    "an object is created, read, changed and deleted": write_all,
-    "a write expects an old version": write_stale,
-    "several writes expect the same version": write_racing,
-    "the answer to a write is lost": write_lost,
-    "a lost answer is settled after later writes": write_settled_late,
-    "the platform is unavailable": out,
-    "a watch returns all changes in order": watch,
-    "a watch has missed changes": watch_gap,
-    "reads are stale": stale,
-    "the list of boxes is delayed": boxes,
-    "the store has lost the version that a write expects": write_lost_version,
-    "the store has reissued the version that a write expects": (
-        write_version_given_out_again
-    ),
-    "a watch resumes from a reissued revision": watch_over_return,
-    "the store is restored from a copy just before a write": settle_over_return,
+    "an object is created, read, changed and deleted": write_and_delete,
+    "a write expects an old version": write_old_version,
+    "several writes expect the same version": write_concurrently,
+    "the answer to a write is lost": write_with_lost_answer,
+    "a lost answer is settled after later writes": settle_after_later_writes,
+    "the platform is unavailable": platform_unavailable,
+    "a watch returns all changes in order": watch_all_changes,
+    "a watch has missed changes": watch_missed_changes,
+    "reads are stale": read_stale_copy,
+    "the list of boxes is delayed": delayed_box_list,
+    "the store has lost the version that a write expects": write_version_lost_by_store,
+    "the store has reissued the version that a write expects": write_reissued_version,
+    "a watch resumes from a reissued revision": watch_across_restore,
+    "the store is restored from a copy just before a write": settle_across_restore,
 }
 
 
@@ -227,64 +225,64 @@
     trio.run(run)
 
 
-def order(length):
+def generation_request(length):
     return GenerationRequest("g1", f"length={length}", 1_000, 0)
 
 
-async def read(stream, most=10**6):
+async def read(stream, max_tokens=10**6):
     tokens = []
     expected = None
     async for item in stream:
         assert expected in (None, item.first_index)
         expected = item.first_index + len(item.tokens)
         tokens.extend(item.tokens)
-        if len(tokens) >= most:
+        if len(tokens) >= max_tokens:
             break
     return tokens
 
 
-async def generate(engine, world):
-    tokens = await read(engine.generate(order(30)))
+async def stream_generation(engine, world):
+    tokens = await read(engine.generate(generation_request(30)))
     assert [token.strip() for token in tokens] == [f"g1.{i}" for i in range(30)]
 
 
 async def resume(engine, world):
-    await read(engine.generate(order(50)), most=10)
+    await read(engine.generate(generation_request(50)), max_tokens=10)
     tokens = await read(engine.resume("g1", 10))
     assert [token.strip() for token in tokens] == [f"g1.{i}" for i in range(10, 50)]
 
 
 async def cancel(engine, world):
-    await read(engine.generate(order(500)), most=5)
+    await read(engine.generate(generation_request(500)), max_tokens=5)
     await engine.cancel("g1")
     await raises(EngineUnknownGenerationError, read(engine.resume("g1", 5)))
 
 
-async def unknown(engine, world):
+async def unknown_generation(engine, world):
     await raises(EngineUnknownGenerationError, read(engine.resume("nobody", 0)))
 
 
-async def still(engine, world):
+async def engine_stalled(engine, world):
     url = world.deployment.url("engine-1") + "/_pause"
     world.deployment.client.post(url, json={"paused": True})
-    await raises(EngineStalledError, read(engine.generate(order(5))))
+    await raises(EngineStalledError, read(engine.generate(generation_request(5))))
     world.deployment.client.post(url, json={"paused": False})
     assert len(await read(engine.resume("g1", 0))) == 5
 
 
-async def gone(engine, world):
+async def engine_crashed(engine, world):
     world.deployment.process("engine-1").kill()
-    await raises(EngineLostError, read(engine.generate(order(5))))
+    await raises(EngineLostError, read(engine.generate(generation_request(5))))
     await raises(EngineLostError, engine.load())
     await raises(EngineLostError, engine.cancel("g1"))
 
 
-async def load(engine, world):
+async def report_load(engine, world):
     report = await engine.load()
     assert report.capacity_tokens == 16_384 and report.running == 0
 
 
-async def cache(engine, world):
+async def cache_events_delayed(engine, world):
     for number in range(12):
         identity, prompt = f"g{number}", f"{number} length=1"
         await read(engine.generate(GenerationRequest(identity, prompt, 10, 0)))
@@ -298,14 +296,14 @@
 
 
 ENGINE_CASES = {
-    "a generation is streamed to its end": generate,
+    "a generation is streamed to its end": stream_generation,
     "a stream is resumed at an offset": resume,
     "a generation is cancelled": cancel,
-    "a generation is unknown": unknown,
-    "the engine stalls": still,
-    "the engine has crashed": gone,
-    "the load is reported": load,
-    "cache events are delayed and have gaps": cache,
+    "a generation is unknown": unknown_generation,
+    "the engine stalls": engine_stalled,
+    "the engine has crashed": engine_crashed,
+    "the load is reported": report_load,
+    "cache events are delayed and have gaps": cache_events_delayed,
 }
 
 
@@ -330,12 +328,12 @@
     assert world.executions() == {"k": 1}
 
 
-async def service_gone(service, world):
+async def service_crashed(service, world):
     world.deployment.process("desk-1").kill()
     await raises(CallNotSentError, service.call("k", "order_lookup", b"{}"))
 
 
-async def service_dies(service, world):
+async def service_crashes_during_call(service, world):
     async with trio.open_nursery() as nursery:
 
         async def kill():
@@ -352,8 +350,8 @@
 
 SERVICE_CASES = {
     "a call is answered": call,
-    "the service has crashed": service_gone,
-    "the service crashes during a call": service_dies,
+    "the service has crashed": service_crashed,
+    "the service crashes during a call": service_crashes_during_call,
 }
 
 
--- a/src/piershore/http1/client_connection.py
+++ b/src/piershore/http1/client_connection.py
@@ -32,27 +32,27 @@
     return True
 
 
-def _ignore(head: ResponseHead) -> None:
+def _ignore_head(head: ResponseHead) -> None:
     """Do nothing with a head."""
 
 
 class ClientConnection:
     """Sends one request at a time and reads its answer.
 
-    `last_used` is when the last exchange ended, by trio's clock. `keep_alive` is how
-    many seconds the server says that it keeps an idle connection; None if it doesn't
-    say. `on_head` is called with the head of each accepted answer.
+    `last_used` is when the last exchange ended, by trio's clock. `keep_alive_seconds`
+    is how long the server keeps an idle connection open; None if it doesn't say.
+    `on_head` is called with the head of each accepted answer.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self._stream = stream
-        self._connection = self._codec()
+        self._connection = self._new_codec()
         self._head: RequestHead | None = None
         self._body = b""
-        self._has_trailing = False
+        self._has_trailing_data = False
         self.last_used = trio.current_time()
         self.keep_alive_seconds: float | None = None
-        self.on_head: OnHead = _ignore
+        self.on_head: OnHead = _ignore_head
 
     @classmethod
     async def open(
@@ -60,15 +60,15 @@
     ) -> ClientConnection:
         """Connect; raise `NotConnectedError` if that fails or takes over `timeout` s.
 
-        With `is_probed`, TCP keepalive breaks an idle connection whose peer has become
-        unreachable (`PROBE_SECONDS`).
+        If `with_keepalive`, TCP keepalive breaks an idle connection whose peer has
+        become unreachable (`KEEPALIVE_PROBE_SECONDS`).
         """
         try:
             with trio.fail_after(timeout):
                 connection = trio.socket.socket()
                 try:
                     if with_keepalive:
-                        _probe(connection)
+                        _enable_keepalive(connection)
                     await connection.connect((host, port))
                 except BaseException:
                     connection.close()
@@ -81,7 +81,7 @@
 
     def is_clean(self) -> bool:
         """Return whether nothing, not even a close, followed the last answer."""
-        return not self._has_trailing and not self._stream.socket.is_readable()
+        return not self._has_trailing_data and not self._stream.socket.is_readable()
 
     async def closes_within(self, seconds: float) -> bool:
         """Return whether the peer closes the connection within some seconds.
@@ -117,29 +117,29 @@
             await self._skip_answer()
         raise ExchangeBrokenError("only answers to other requests were received")
 
-    async def read_chunks(self, patience: float = inf) -> AsyncIterator[bytes]:
+    async def read_chunks(self, stall_timeout: float = inf) -> AsyncIterator[bytes]:
         """Yield the chunks of the body; return only once it is complete.
 
         Raise `ExchangeBrokenError` if the body is cut short, or nothing is received
-        for `patience` seconds.
+        for `stall_timeout` seconds.
         """
         while True:
-            event = await self._next_event_within(patience)
+            event = await self._next_event_within(stall_timeout)
             if isinstance(event, h11.EndOfMessage):
                 return
             if isinstance(event, h11.ConnectionClosed):
                 raise ExchangeBrokenError("the answer was cut short")
             yield bytes(event.data)
 
-    async def read_body(self, patience: float = inf) -> bytes:
-        """Read the whole body, with the same `patience` as `read_chunks`."""
-        return b"".join([part async for part in self.read_chunks(patience)])
+    async def read_body(self, stall_timeout: float = inf) -> bytes:
+        """Read the whole body, with the same `stall_timeout` as `read_chunks`."""
+        return b"".join([chunk async for chunk in self.read_chunks(stall_timeout)])
 
     def end_exchange(self) -> bool:
         """Prepare for another request; return False if the connection must close."""
         trailing, closed = self._connection.trailing_data
-        self._has_trailing = bool(trailing) or closed
-        if self._has_trailing or self._connection.states != {
+        self._has_trailing_data = bool(trailing) or closed
+        if self._has_trailing_data or self._connection.states != {
             h11.CLIENT: h11.DONE,
             h11.SERVER: h11.DONE,
         }:
@@ -153,7 +153,7 @@
         await trio.aclose_forcefully(self._stream)
 
     @staticmethod
-    def _codec() -> h11.Connection:
+    def _new_codec() -> h11.Connection:
         return h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
     def _encode(self) -> bytes:
@@ -174,10 +174,10 @@
                 break
         headers = tuple((bytes(k), bytes(v)) for k, v in event.headers)
         head = ResponseHead(event.status_code, headers)
-        self._note_keep_alive(head)
+        self._record_keep_alive(head)
         return head
 
-    def _note_keep_alive(self, head: ResponseHead) -> None:
+    def _record_keep_alive(self, head: ResponseHead) -> None:
         value = head.header(b"keep-alive")
         if value is None:
             return
@@ -190,19 +190,19 @@
         """Read the rest of an answer to an earlier request; the own one follows."""
         await self.read_body()
         trailing, closed = self._connection.trailing_data
-        self._connection = self._codec()
+        self._connection = self._new_codec()
         self._encode()
         if trailing:
             self._connection.receive_data(trailing)
         if closed:
             self._connection.receive_data(b"")
 
-    async def _next_event_within(self, patience: float) -> h11.Event:
-        if patience == inf:
+    async def _next_event_within(self, stall_timeout: float) -> h11.Event:
+        if stall_timeout == inf:
             return await self._next_event()
-        with trio.move_on_after(patience):
+        with trio.move_on_after(stall_timeout):
             return await self._next_event()
-        raise ExchangeBrokenError(f"nothing came for {patience:g} s")
+        raise ExchangeBrokenError(f"nothing came for {stall_timeout:g} s")
 
     async def _next_event(self) -> h11.Event:
         while True:
@@ -221,7 +221,7 @@
             raise ExchangeBrokenError("the connection was reset") from error
 
 
-def _probe(connection: trio.socket.SocketType) -> None:
+def _enable_keepalive(connection: trio.socket.SocketType) -> None:
     """Let the kernel probe the peer of an idle connection (TCP keepalive)."""
     connection.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_KEEPALIVE, 1)
     for option, value in (
--- a/src/piershore/http1/connection_pool.py
+++ b/src/piershore/http1/connection_pool.py
@@ -31,7 +31,7 @@
 OnEndpointHead = Callable[[Endpoint, ResponseHead], None]
 
 
-def _ignore(endpoint: Endpoint, head: ResponseHead) -> None:
+def _ignore_head(endpoint: Endpoint, head: ResponseHead) -> None:
     """Do nothing with an endpoint's head."""
 
 
@@ -43,8 +43,8 @@
     """
 
     def __init__(self) -> None:
-        self._on_head: OnEndpointHead = _ignore
-        self._kept: dict[Address, list[ClientConnection]] = {}
+        self._on_head: OnEndpointHead = _ignore_head
+        self._idle: dict[Address, list[ClientConnection]] = {}
         self._retired: list[ClientConnection] = []
 
     def set_head_callback(self, on_head: OnEndpointHead) -> None:
@@ -52,22 +52,24 @@
         self._on_head = on_head
 
     async def acquire(
-        self, endpoint: Endpoint, longest_idle: float
+        self, endpoint: Endpoint, max_idle_seconds: float
     ) -> ClientConnection:
-        """Return a pooled connection idle for at most `longest_idle` s, or a new one.
+        """Return a pooled connection that was idle for at most `max_idle_seconds`.
 
-        Raise `NotConnectedError` if a new one can't be opened.
+        If there is none, open a new one; raise `NotConnectedError` if that fails.
         """
-        connection = await self._take(endpoint.address, longest_idle)
+        connection = await self._acquire(endpoint.address, max_idle_seconds)
         connection.on_head = partial(self._on_head, endpoint)
         return connection
 
-    async def _take(self, address: Address, longest_idle: float) -> ClientConnection:
+    async def _acquire(
+        self, address: Address, max_idle_seconds: float
+    ) -> ClientConnection:
         now = trio.current_time()
-        kept = self._kept.get(address, [])
-        while kept:
-            connection = kept.pop()
-            if now - connection.last_used <= longest_idle and self._is_usable(
+        idle = self._idle.get(address, [])
+        while idle:
+            connection = idle.pop()
+            if now - connection.last_used <= max_idle_seconds and self._is_usable(
                 connection, now
             ):
                 return connection
@@ -76,13 +78,13 @@
 
     @asynccontextmanager
     async def borrow(
-        self, endpoint: Endpoint, longest_idle: float
+        self, endpoint: Endpoint, max_idle_seconds: float
     ) -> AsyncIterator[ClientConnection]:
         """Provide a connection for one exchange, and keep it if that succeeds.
 
         Raise `NotConnectedError` if a new connection can't be opened.
         """
-        connection = await self.acquire(endpoint, longest_idle)
+        connection = await self.acquire(endpoint, max_idle_seconds)
         is_done = False
         try:
             yield connection
@@ -121,37 +123,37 @@
         self, address: Address, connection: ClientConnection, *, reusable: bool
     ) -> None:
         """Keep a connection if it is `reusable`, else close it."""
-        kept = self._kept.setdefault(address, [])
-        if reusable and len(kept) < MAX_IDLE_CONNECTIONS and connection.end_exchange():
-            kept.append(connection)
+        idle = self._idle.setdefault(address, [])
+        if reusable and len(idle) < MAX_IDLE_CONNECTIONS and connection.end_exchange():
+            idle.append(connection)
             return
         await connection.close()
 
     async def close_connections_to(self, address: Address) -> None:
         """Close the pooled connections to an address."""
-        for connection in self._kept.pop(address, []):
+        for connection in self._idle.pop(address, []):
             await connection.close()
 
     def retire(self, address: Address) -> None:
         """Stop using the pooled connections to an address; `close_idle` closes them."""
-        self._retired.extend(self._kept.pop(address, ()))
+        self._retired.extend(self._idle.pop(address, ()))
 
     async def close_idle(self) -> None:
         """Close the connections that were idle for too long or are retired."""
         now = trio.current_time()
-        idle, self._retired = self._retired, []
+        expired, self._retired = self._retired, []
         # Remove all of them before the first await, so that none is handed out.
-        for address, kept in list(self._kept.items()):
-            idle.extend(c for c in kept if not self._is_usable(c, now))
-            kept[:] = [c for c in kept if c not in idle]
-            if not kept:
-                del self._kept[address]
-        for connection in idle:
+        for address, idle in list(self._idle.items()):
+            expired.extend(c for c in idle if not self._is_usable(c, now))
+            idle[:] = [c for c in idle if c not in expired]
+            if not idle:
+                del self._idle[address]
+        for connection in expired:
             await connection.close()
 
     async def close(self) -> None:
         """Close all connections."""
-        for address in list(self._kept):
+        for address in list(self._idle):
             await self.close_connections_to(address)
         for connection in self._retired:
             await connection.close()
@@ -162,9 +164,9 @@
 
     @staticmethod
     def _is_usable(connection: ClientConnection, now: float) -> bool:
-        longest = MAX_IDLE_SECONDS
+        limit = MAX_IDLE_SECONDS
         if connection.keep_alive_seconds is not None:
-            longest = min(
-                longest, connection.keep_alive_seconds - KEEP_ALIVE_MARGIN_SECONDS
+            limit = min(
+                limit, connection.keep_alive_seconds - KEEP_ALIVE_MARGIN_SECONDS
             )
-        return now - connection.last_used < longest and connection.is_clean()
+        return now - connection.last_used < limit and connection.is_clean()
--- a/src/piershore/http1/message.py
+++ b/src/piershore/http1/message.py
@@ -69,17 +69,19 @@
     return next((value for key, value in headers if key == name), None)
 
 
-def end_to_end_headers(headers: Headers, kept: frozenset[bytes]) -> Iterator[tuple]:
+def end_to_end_headers(
+    headers: Headers, protected: frozenset[bytes]
+) -> Iterator[tuple]:
     """Yield the headers that are forwarded.
 
     A sender can exclude further headers by listing them in `Connection`, but none of
-    `kept`.
+    `protected`.
     """
-    named = set(CONNECTION_HEADERS)
+    excluded = set(CONNECTION_HEADERS)
     for key, value in headers:
         if key == b"connection":
-            words = (word.strip().lower() for word in value.split(b","))
-            named.update(word for word in words if word not in kept)
+            names = (name.strip().lower() for name in value.split(b","))
+            excluded.update(name for name in names if name not in protected)
     for key, value in headers:
-        if key not in named:
+        if key not in excluded:
             yield key, value
--- a/src/piershore/http1/server_connection.py
+++ b/src/piershore/http1/server_connection.py
@@ -32,10 +32,10 @@
     ) -> None:
         self._stream = stream
         self._limits = limits
-        self._connection = self._codec()
-        self._ahead_bytes = 0
+        self._connection = self._new_codec()
+        self._pipelined_bytes = 0
         self._response_started = False
-        self._has_bytes = False
+        self._has_request_bytes = False
         self.must_close = False
 
     @property
@@ -61,16 +61,16 @@
 
         If it is cancelled, no bytes have been consumed.
         """
-        if self._has_bytes:
+        if self._has_request_bytes:
             return True
         with trio.move_on_after(self._limits().idle_timeout):
-            self._has_bytes = await self._receive_first_bytes()
-        return self._has_bytes
+            self._has_request_bytes = await self._receive_first_bytes()
+        return self._has_request_bytes
 
     async def read_body(self) -> bytes:
         """Read the whole body; raise `BadRequestError` if too large or too slow."""
         limits = self._limits()
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         with trio.move_on_after(limits.idle_timeout):
             while True:
@@ -80,13 +80,13 @@
                     )
                 event = await self._next_event()
                 if isinstance(event, h11.EndOfMessage):
-                    return b"".join(parts)
+                    return b"".join(chunks)
                 if isinstance(event, h11.ConnectionClosed):
                     raise trio.BrokenResourceError("the caller left midway")
                 size += len(event.data)
                 if size > limits.body_bytes:
                     raise self._body_too_large()
-                parts.append(bytes(event.data))
+                chunks.append(bytes(event.data))
         raise BadRequestError(
             HTTPStatus.REQUEST_TIMEOUT, "body_timeout", "the body came too slowly"
         )
@@ -94,7 +94,7 @@
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete answer."""
         framed = [*headers, (b"content-length", str(len(body)).encode())]
-        data = self._start(status, framed)
+        data = self._encode_head(status, framed)
         if body and self._connection.our_state is h11.SEND_BODY:
             data += self._connection.send(h11.Data(body))
         data += self._connection.send(h11.EndOfMessage())
@@ -103,10 +103,10 @@
     async def start_stream(self, status: int, headers: Headers, data: bytes) -> None:
         """Send the head and the first chunk of an answer whose length isn't known."""
         framed = [*headers, (b"transfer-encoding", b"chunked")]
-        sent = self._start(status, framed)
+        encoded = self._encode_head(status, framed)
         if data:
-            sent += self._connection.send(h11.Data(data))
-        await self._stream.send_all(sent)
+            encoded += self._connection.send(h11.Data(data))
+        await self._stream.send_all(encoded)
 
     async def send_chunk(self, data: bytes) -> None:
         """Send a chunk of an answer."""
@@ -119,13 +119,13 @@
     async def wait_closed(self) -> None:
         """Wait until the caller closes the connection; keep bytes of later requests.
 
-        After `MOST_PIPELINED_BYTES`, nothing more is read and a close goes undetected.
+        After `MAX_PIPELINED_BYTES`, nothing more is read and a close goes undetected.
         """
-        while self._ahead_bytes < MAX_PIPELINED_BYTES:
+        while self._pipelined_bytes < MAX_PIPELINED_BYTES:
             data = await self._receive()
             if not data:
                 return
-            self._ahead_bytes += len(data)
+            self._pipelined_bytes += len(data)
             self._connection.receive_data(data)
         await trio.sleep_forever()
 
@@ -135,9 +135,9 @@
         if self.must_close or not done or self._connection.their_state is not h11.DONE:
             return False
         self._connection.start_next_cycle()
-        self._ahead_bytes = 0
+        self._pipelined_bytes = 0
         self._response_started = False
-        self._has_bytes = False
+        self._has_request_bytes = False
         return True
 
     async def close(self) -> None:
@@ -158,7 +158,7 @@
                 pass  # The caller has closed the connection already.
         await self.close()
 
-    def _codec(self) -> h11.Connection:
+    def _new_codec(self) -> h11.Connection:
         size = self._limits().header_bytes + HEADER_SLACK_BYTES
         return h11.Connection(h11.SERVER, max_incomplete_event_size=size)
 
@@ -229,7 +229,7 @@
         except trio.BrokenResourceError:
             return b""
 
-    def _start(self, status: int, headers: FramedHeaders) -> bytes:
+    def _encode_head(self, status: int, headers: FramedHeaders) -> bytes:
         if self.must_close:
             headers.append((b"connection", b"close"))
         self._response_started = True
--- a/src/piershore/platform/box_settings_file.py
+++ b/src/piershore/platform/box_settings_file.py
@@ -82,7 +82,7 @@
     def text(self, name: str) -> str:
         value = self._fields.get(name, "")
         if not value:
-            self._found(name, "is missing")
+            self._add_finding(name, "is missing")
         return value
 
     def number(self, name: str, default: float) -> float:
@@ -92,7 +92,7 @@
         try:
             return float(value)
         except ValueError:
-            self._found(name, f"{value!r} is not a number")
+            self._add_finding(name, f"{value!r} is not a number")
             return default
 
     def milliseconds(self, name: str, default: float) -> float:
@@ -107,24 +107,24 @@
             return Address.parse(value)
         except ValueError as error:
             if value:
-                self._found(name, str(error))
+                self._add_finding(name, str(error))
             return Address("", 0)
 
     def addresses(self, name: str) -> tuple[Address, ...]:
-        found = []
+        parsed = []
         for word in filter(None, self._fields.get(name, "").split(",")):
             try:
-                found.append(Address.parse(word))
+                parsed.append(Address.parse(word))
             except ValueError as error:
-                self._found(name, str(error))
-        return tuple(found)
+                self._add_finding(name, str(error))
+        return tuple(parsed)
 
     def ports(self, name: str) -> tuple[int, int]:
         first, _, last = self.text(name).partition(",")
         if first.isdigit() and last.isdigit():
             return int(first), int(last)
-        self._found(name, "is not FIRST,LAST")
+        self._add_finding(name, "is not FIRST,LAST")
         return 0, 0
 
-    def _found(self, name: str, message: str) -> None:
+    def _add_finding(self, name: str, message: str) -> None:
         self.findings.append(_finding(self._file, name, message))
--- a/src/piershore/platform/endpoint_codec.py
+++ b/src/piershore/platform/endpoint_codec.py
@@ -30,15 +30,15 @@
         raise _invalid(name, "is not an object")
     reader = _EntryReader(name, spec)
     reader.word("version")
-    reader.whole("sequence", 0, MAX_SEQUENCE)
+    reader.integer("sequence", 0, MAX_SEQUENCE)
     return Endpoint(
-        name=reader.own_name(),
+        name=reader.entry_name(),
         service=reader.word("service"),
         address=reader.address("address"),
         data_hall=reader.word("zone"),
-        slots=reader.whole("slots", 1, MAX_SLOTS),
+        slots=reader.integer("slots", 1, MAX_SLOTS),
         stage=reader.stage("state"),
-        born=reader.whole("born", 0, MAX_BORN_MILLISECONDS, default=0),
+        born=reader.integer("born", 0, MAX_BORN_MILLISECONDS, default=0),
         cold_seconds=reader.milliseconds("cold_remaining_ms"),
     )
 
@@ -50,7 +50,7 @@
         self._name = name
         self._spec = spec
 
-    def own_name(self) -> str:
+    def entry_name(self) -> str:
         """Return the entry's name; it must be valid in the header of a request."""
         if not _is_word(self._name):
             raise _invalid(self._name, "the name is not valid in a header")
@@ -72,12 +72,12 @@
             raise self._found(field, "has no valid port")
         return address
 
-    def whole(
-        self, field: str, least: int, most: int, default: int | None = None
+    def integer(
+        self, field: str, minimum: int, maximum: int, default: int | None = None
     ) -> int:
         value = self._spec.get(field, default)
-        if type(value) is not int or not least <= value <= most:
-            raise self._found(field, f"is not an integer from {least} to {most}")
+        if type(value) is not int or not minimum <= value <= maximum:
+            raise self._found(field, f"is not an integer from {minimum} to {maximum}")
         return value
 
     def milliseconds(self, field: str) -> float:
--- a/src/piershore/platform/engine_mover.py
+++ b/src/piershore/platform/engine_mover.py
@@ -37,12 +37,12 @@
         head = await connection.read_head()
         answer = await connection.read_body()
         if head.status == STATUS_OK:
-            copied = _copy_at(source, answer)
+            copied = _decode_result(source, answer)
             if copied is None:
                 raise ExchangeBrokenError("invalid answer to a move")
             return copied
         # If the run stopped, the source keeps its memory and returns the handle.
-        return _copy_at(source, answer) if is_last else None
+        return _decode_result(source, answer) if is_last else None
 
     async def release(self, connection: ClientConnection, copy: MemoryCopy) -> None:
         """Free a copy that will not be used."""
@@ -52,11 +52,11 @@
         await connection.read_body()
 
 
-def _copy_at(source: Address, answer: bytes) -> MoveResult | None:
+def _decode_result(source: Address, answer: bytes) -> MoveResult | None:
     """Return the copy whose handle an answer contains, or None."""
     try:
-        found = orjson.loads(answer)
-        return MoveResult(MemoryCopy(source, str(found["handle"])))
+        fields = orjson.loads(answer)
+        return MoveResult(MemoryCopy(source, str(fields["handle"])))
     except (orjson.JSONDecodeError, KeyError, TypeError):
         return None
 
--- a/src/piershore/platform/engine_prober.py
+++ b/src/piershore/platform/engine_prober.py
@@ -44,12 +44,12 @@
 
 def _decode(report: dict[str, Any]) -> EndpointReport:
     # Milliseconds until the engine leaves; present once that is known.
-    leaves_in = report.get("leaves_ms")
+    leaves_ms = report.get("leaves_ms")
     # Each run: request, tokens in memory, generated events, priority.
     runs = report.get("runs") or ()
     born = report.get("born")
     return EndpointReport(
-        is_leaving=report.get("state") == LEAVING_STATE or bool(leaves_in),
+        is_leaving=report.get("state") == LEAVING_STATE or bool(leaves_ms),
         generated_events={str(run[0]): int(run[2]) for run in runs},
         born=born if type(born) is int else 0,
     )
--- a/src/piershore/platform/feeds.py
+++ b/src/piershore/platform/feeds.py
@@ -77,14 +77,12 @@
     ) -> tuple[Document | None, StoreRevision]:
         """Wait for a newer document."""
         batch = await self._client.watch(CONFIGURATION_KIND, revision, wait)
-        reached = _reached(batch, revision)
-        newest = None
+        reached = _next_revision(batch, revision)
+        spec = None
         for change in batch.changes:
             if change.object.name == CONFIGURATION_NAME and not change.is_gone:
-                newest = change.object.spec
-        return None if newest is None else await build_document(
-            newest, reached
-        ), reached
+                spec = change.object.spec
+        return None if spec is None else await build_document(spec, reached), reached
 
     def decode_chunk(self, part: DocumentChunk) -> PartialConfiguration:
         """Decode one chunk of a document."""
@@ -107,7 +105,7 @@
     if not isinstance(spec, Mapping):
         raise InvalidObjectError("the configuration is not an object")
     return Document(
-        revision, tuple([part async for part in with_checkpoints(split(spec))])
+        revision, tuple([chunk async for chunk in with_checkpoints(split(spec))])
     )
 
 
@@ -122,7 +120,7 @@
         """Return the drained data halls."""
         listed = await self._client.list(DRAIN_KIND)
         self._data_halls = {item.name for item in listed.objects}
-        return self._view(listed.revision)
+        return self._drained(listed.revision)
 
     async def changes(self, revision: StoreRevision, wait: float) -> DrainedHalls:
         """Wait for changes; return the data halls that are drained then."""
@@ -132,13 +130,13 @@
                 self._data_halls.discard(change.object.name)
             else:
                 self._data_halls.add(change.object.name)
-        return self._view(_reached(batch, revision))
+        return self._drained(_next_revision(batch, revision))
 
     def resume_from(self, drained: DrainedHalls) -> None:
         """Continue from the view of a peer, to watch for later changes."""
         self._data_halls = set(drained.data_halls)
 
-    def _view(self, revision: StoreRevision) -> DrainedHalls:
+    def _drained(self, revision: StoreRevision) -> DrainedHalls:
         return DrainedHalls(revision, frozenset(self._data_halls))
 
 
@@ -148,14 +146,14 @@
     def __init__(self, store: Address) -> None:
         super().__init__(store)
         self._findings: list[str] = []
-        self._unreadable: dict[str, str] = {}
+        self._reported_errors: dict[str, str] = {}
 
     async def read(self) -> tuple[tuple[Endpoint, ...], StoreRevision]:
         """Return all endpoints and the revision."""
         listed = await self._client.list(ENDPOINT_KIND)
         names = {item.name for item in listed.objects}
-        for gone in self._unreadable.keys() - names:
-            del self._unreadable[gone]
+        for removed in self._reported_errors.keys() - names:
+            del self._reported_errors[removed]
         endpoints = (self._decode(item) for item in listed.objects)
         return tuple(filter(None, endpoints)), listed.revision
 
@@ -164,17 +162,19 @@
     ) -> tuple[tuple[EndpointChange, ...], StoreRevision]:
         """Wait for changes; return them and the revision reached."""
         batch = await self._client.watch(ENDPOINT_KIND, revision, wait)
-        return tuple(map(self._change, batch.changes)), _reached(batch, revision)
+        return tuple(map(self._decode_change, batch.changes)), _next_revision(
+            batch, revision
+        )
 
     def pop_findings(self) -> list[str]:
         """Return the errors found in entries since the last call."""
         findings, self._findings = self._findings, []
         return findings
 
-    def _change(self, change: ObjectChange) -> EndpointChange:
+    def _decode_change(self, change: ObjectChange) -> EndpointChange:
         name = change.object.name
         if change.is_gone:
-            self._unreadable.pop(name, None)
+            self._reported_errors.pop(name, None)
             return EndpointChange(name, None)
         return EndpointChange(name, self._decode(change.object))
 
@@ -186,15 +186,15 @@
         try:
             endpoint = decode_endpoint(item.name, item.spec)
         except InvalidObjectError as error:
-            if self._unreadable.get(item.name) != error.message:
-                self._unreadable[item.name] = error.message
+            if self._reported_errors.get(item.name) != error.message:
+                self._reported_errors[item.name] = error.message
                 self._findings.append(error.message)
             return None
-        self._unreadable.pop(item.name, None)
+        self._reported_errors.pop(item.name, None)
         return endpoint
 
 
-def _reached(batch: ObjectChanges, revision: StoreRevision) -> StoreRevision:
+def _next_revision(batch: ObjectChanges, revision: StoreRevision) -> StoreRevision:
     """Return the revision from which the next watch starts.
 
     A watch that ends without changes may have missed some if the store was about to
--- a/src/piershore/platform/headers.py
+++ b/src/piershore/platform/headers.py
@@ -130,14 +130,14 @@
 
     def read_answer(self, head: ResponseHead) -> EndpointAnswer:
         """Decode the head of an endpoint's answer."""
-        is_sealed = head.header(SIGNATURE) is not None
+        is_signed = head.header(SIGNATURE) is not None
         is_success = 200 <= head.status < 300
         is_plain = head.header(b"content-encoding") is None
         return EndpointAnswer(
             status=head.status,
             was_not_run=head.header(NOT_RUN) is not None or head.status == MISDIRECTED,
             is_wrong_instance=head.status == MISDIRECTED,
-            is_valid=is_plain and (is_sealed or not is_success),
+            is_valid=is_plain and (is_signed or not is_success),
         )
 
     def read_notice(self, head: ResponseHead) -> EndpointNotice:
@@ -145,11 +145,11 @@
         if head.status == MISDIRECTED:
             # Another endpoint has this address now: the notice would be about it.
             return NO_NOTICE
-        leaves = head.header(LEAVING)
-        is_leaving = leaves is not None and leaves.strip().lower() not in FALSE_VALUES
-        rest = None
+        leaving = head.header(LEAVING)
+        is_leaving = leaving is not None and leaving.strip().lower() not in FALSE_VALUES
+        backoff = None
         if head.status == HTTPStatus.SERVICE_UNAVAILABLE:
-            rest = longest_backoff(
+            backoff = longest_backoff(
                 v.decode("latin-1") for v in head.values(RETRY_AFTER)
             )
         limits = [v.decode("latin-1") for v in head.values(RATE_LIMIT)]
@@ -157,7 +157,7 @@
         unreadable = ", ".join(limits) if rate is None else ""
         if not limits and head.header(REQUEST_ID):
             rate = UNLIMITED
-        return EndpointNotice(is_leaving, rest, rate, unreadable)
+        return EndpointNotice(is_leaving, backoff, rate, unreadable)
 
     def forwarded_answer_headers(self, head: ResponseHead) -> Headers:
         """Return those of the endpoint's headers that are forwarded to the caller."""
@@ -203,11 +203,11 @@
     if counts is None:
         return None
     try:
-        prompt, most = (int(word) for word in counts.split(b","))
-        guess = head.header(LENGTH_HINT)
-        hinted = None if guess is None else int(float(guess))
+        prompt, max_tokens = (int(word) for word in counts.split(b","))
+        hint = head.header(LENGTH_HINT)
+        hinted = None if hint is None else int(float(hint))
     except ValueError as error:
         raise BadRequestError(
             HTTPStatus.BAD_REQUEST, "invalid_token_counts", "token counts are faulty"
         ) from error
-    return GenerationSize(prompt, most, hinted)
+    return GenerationSize(prompt, max_tokens, hinted)
--- a/src/piershore/platform/http_platform_store.py
+++ b/src/piershore/platform/http_platform_store.py
@@ -74,7 +74,7 @@
 
     async def get(self, name: ObjectName) -> StoredObject | None:
         """Read one object; the answer may be stale."""
-        kind, key = _place(name)
+        kind, key = _store_key(name)
         found = await self._with_client(lambda client: client.get(kind, key))
         return None if found is None else self._decode(found)
 
@@ -96,17 +96,19 @@
                 lambda c: self._write(c, name, value, StoreRevision(version), write_id)
             )
         except ObjectConflictError as error:
-            raise self._stale(name, error.current) from error
+            raise self._stale_error(name, error.current) from error
 
     async def restore(self, lost: StoredObject, version: int, write_id: str) -> None:
         """Write a lost object again, with the version under which it was accepted."""
         spec = {**_spec_of(lost.value, (write_id,)), "version": lost.version}
         try:
             await self._with_client(
-                lambda c: self._store(c, lost.name, spec, StoreRevision(version))
+                lambda c: self._create_or_replace(
+                    c, lost.name, spec, StoreRevision(version)
+                )
             )
         except ObjectConflictError as error:
-            raise self._stale(lost.name, error.current) from error
+            raise self._stale_error(lost.name, error.current) from error
 
     async def watch(self, revision: int) -> AsyncIterator[StoredObject | int]:
         """Yield changes after `revision`, and the revision reached after each batch."""
@@ -118,14 +120,14 @@
                 )
             )
             for change in batch.changes:
-                yield self._changed(change)
+                yield self._decode_change(change)
             reached = batch.revision
             yield reached
 
     async def boxes(self) -> tuple[Box, ...]:
         """Return the boxes that the platform knows of."""
         listed = await self._with_client(lambda c: c.list(BOX_KIND))
-        return tuple(_box(item) for item in listed.objects)
+        return tuple(_decode_box(item) for item in listed.objects)
 
     async def _write(
         self,
@@ -136,29 +138,29 @@
         write_id: str,
     ) -> StoredObject:
         if value is None:
-            number = await self._number_of(client, name, version)
-            await client.remove(*_place(name), number)
+            number = await self._revision_number(client, name, version)
+            await client.remove(*_store_key(name), number)
             return StoredObject(name, version + 1, None, (write_id,))
-        known_at, known = self._write_ids.get(name, (0, ()))
-        previous = known if known_at == version else ()
+        cached_version, cached_ids = self._write_ids.get(name, (0, ()))
+        previous = cached_ids if cached_version == version else ()
         ids = (*previous, write_id)[-MAX_WRITE_IDS:]
         spec = {**_spec_of(value, ids), "era": self.era}
-        return self._decode(await self._store(client, name, spec, version))
+        return self._decode(await self._create_or_replace(client, name, spec, version))
 
-    async def _store(
+    async def _create_or_replace(
         self,
         client: ObjectClient,
         name: ObjectName,
         spec: Mapping,
         version: StoreRevision,
     ) -> PlatformObject:
-        kind, key = _place(name)
+        kind, key = _store_key(name)
         if not version:
             return await client.create(kind, key, spec)
-        number = await self._number_of(client, name, version)
+        number = await self._revision_number(client, name, version)
         return await client.replace(kind, key, spec, number)
 
-    async def _number_of(
+    async def _revision_number(
         self, client: ObjectClient, name: ObjectName, version: StoreRevision
     ) -> int:
         """Return the store's revision number of a version.
@@ -170,12 +172,12 @@
         """
         if version.era >= self.era:
             return version.number
-        found = await client.get(*_place(name))
+        found = await client.get(*_store_key(name))
         if found is None or self._decode(found).version != version:
-            raise self._stale(name, found)
+            raise self._stale_error(name, found)
         return found.revision
 
-    def _stale(
+    def _stale_error(
         self, name: ObjectName, current: PlatformObject | None
     ) -> StaleVersionError:
         return StaleVersionError(
@@ -183,7 +185,7 @@
             None if current is None else self._decode(current),
         )
 
-    def _changed(self, change: ObjectChange) -> StoredObject:
+    def _decode_change(self, change: ObjectChange) -> StoredObject:
         decoded = self._decode(change.object)
         if not change.is_gone:
             return decoded
@@ -191,7 +193,7 @@
         return StoredObject(decoded.name, decoded.version + 1, None)
 
     def _decode(self, item: PlatformObject) -> StoredObject:
-        name = _name(item)
+        name = _object_name(item)
         ids = tuple(item.spec["write_ids"])
         version = _version_of(item)
         self._write_ids[name] = (version, ids)
@@ -220,7 +222,7 @@
                     await client.close()
 
 
-def _place(name: ObjectName) -> tuple[str, str]:
+def _store_key(name: ObjectName) -> tuple[str, str]:
     """Return the kind and the name under which the platform stores an object."""
     kind = SLOT_KIND if name.kind is ObjectKind.SLOTS else CONFIGURATION_KIND
     return kind, f"{name.kind}{KIND_SEPARATOR}{name.name}"
@@ -232,20 +234,20 @@
 
 def _version_of(item: PlatformObject) -> StoreRevision:
     """Return the version under which an object was accepted."""
-    told = item.spec.get("version")
-    if type(told) is int and told > 0:
-        return StoreRevision(told)
+    accepted = item.spec.get("version")
+    if type(accepted) is int and accepted > 0:
+        return StoreRevision(accepted)
     era = item.spec.get("era", 0)
     is_era = type(era) is int and 0 <= era <= MAX_ERA
     return StoreRevision.of(era if is_era else 0, item.revision)
 
 
-def _name(item: PlatformObject) -> ObjectName:
+def _object_name(item: PlatformObject) -> ObjectName:
     kind, _, name = item.name.partition(KIND_SEPARATOR)
     return ObjectName(ObjectKind(kind), name)
 
 
-def _box(item: PlatformObject) -> Box:
+def _decode_box(item: PlatformObject) -> Box:
     spec: Mapping = item.spec
     return Box(
         name=item.name,
--- a/src/piershore/platform/object_client.py
+++ b/src/piershore/platform/object_client.py
@@ -112,12 +112,12 @@
         self._connection: ClientConnection | None = None
         self._is_sent = False
         self._era = StoreEra() if era is None else era
-        self._heard_at = float("-inf")
+        self._last_received_at = float("-inf")
 
     @property
     def last_received_at(self) -> float:
         """When bytes of an answer were last received, by trio's clock."""
-        return self._heard_at
+        return self._last_received_at
 
     @property
     def era(self) -> StoreEra:
@@ -142,10 +142,10 @@
                     "the store was restored from an older copy during the read"
                 )
             era = answer.era
-            page = list(_objects(_entries(answer.body, "items")))
+            page = list(_decode_objects(_entries(answer.body, "items")))
             objects.extend(page)
             if not answer.body.get("more") or not page:
-                return ObjectList(tuple(objects), _reached(answer))
+                return ObjectList(tuple(objects), _answer_revision(answer))
             after = page[-1].name
 
     async def watch(
@@ -163,14 +163,18 @@
         answer = await self._get(path, wait + WATCH_GRACE_SECONDS)
         if answer.era != revision.era:
             raise WatchGapError("the store was restored from an older copy")
-        changes = tuple(_changes(_entries(answer.body, "events")))
-        return ObjectChanges(changes, _reached(answer))
+        changes = tuple(_decode_changes(_entries(answer.body, "events")))
+        return ObjectChanges(changes, _answer_revision(answer))
 
     async def get(self, kind: str, name: str) -> PlatformObject | None:
         """Read one object; return None if it doesn't exist."""
         call = ObjectCall(b"GET", f"/objects/{kind}/{quote(name)}")
         answer = await self._call(call, CALL_SECONDS)
-        return None if answer.status == HTTPStatus.NOT_FOUND else _object(answer.body)
+        return (
+            None
+            if answer.status == HTTPStatus.NOT_FOUND
+            else _decode_object(answer.body)
+        )
 
     async def create(self, kind: str, name: str, spec: Mapping) -> PlatformObject:
         """Create an object; raise `ObjectConflictError` if it exists.
@@ -212,9 +216,9 @@
     async def _write(self, call: ObjectCall) -> PlatformObject:
         answer = await self._call(call, CALL_SECONDS)
         if answer.status in (HTTPStatus.CONFLICT, HTTPStatus.NOT_FOUND):
-            current = _object(answer.body) if answer.body else None
+            current = _decode_object(answer.body) if answer.body else None
             raise ObjectConflictError("the object has changed", current)
-        return _object(answer.body)
+        return _decode_object(answer.body)
 
     async def _call(self, call: ObjectCall, timeout: float) -> ObjectAnswer:
         self._is_sent = False
@@ -234,14 +238,14 @@
     async def _exchange(self, call: ObjectCall, timeout: float) -> ObjectAnswer:
         with trio.fail_after(timeout + CONNECT_SECONDS):
             connection = await self._connect()
-            answer = await self._start(connection, call)
+            answer = await self._send(connection, call)
         era = self._era.value
-        data = b"".join([part async for part in self._parts(connection)])
+        data = b"".join([chunk async for chunk in self._read_chunks(connection)])
         if not connection.end_exchange():
             await self.close()
-        return _answer(answer.status, data, era)
+        return _decode_answer(answer.status, data, era)
 
-    async def _start(
+    async def _send(
         self, connection: ClientConnection, call: ObjectCall
     ) -> ResponseHead:
         """Send a call and read the head of its answer."""
@@ -254,18 +258,20 @@
         head = RequestHead(call.method, call.path.encode(), tuple(headers))
         await connection.send(head, body)
         answer = await connection.read_head()
-        self._heard_at = trio.current_time()
-        if not self._era.observe(_text(answer.header(ERA_HEADER)), self._heard_at):
+        self._last_received_at = trio.current_time()
+        if not self._era.observe(
+            _decode_header(answer.header(ERA_HEADER)), self._last_received_at
+        ):
             reason = "the answer is from before the store was restored"
             if call.method == b"GET":
                 raise PlatformUnavailableError(reason)
             raise WriteUncertainError(reason)
         return answer
 
-    async def _parts(self, connection: ClientConnection) -> AsyncIterator[bytes]:
-        async for part in connection.read_chunks(STALL_TIMEOUT_SECONDS):
-            self._heard_at = trio.current_time()
-            yield part
+    async def _read_chunks(self, connection: ClientConnection) -> AsyncIterator[bytes]:
+        async for chunk in connection.read_chunks(STALL_TIMEOUT_SECONDS):
+            self._last_received_at = trio.current_time()
+            yield chunk
 
     async def _connect(self) -> ClientConnection:
         if self._connection is None or not self._connection.is_clean():
@@ -279,27 +285,27 @@
         return self._connection
 
 
-def _text(value: bytes | None) -> str | None:
+def _decode_header(value: bytes | None) -> str | None:
     return None if value is None else value.decode("latin-1").strip()
 
 
-def _answer(status: int, data: bytes, era: int) -> ObjectAnswer:
+def _decode_answer(status: int, data: bytes, era: int) -> ObjectAnswer:
     """Decode an answer, or raise the error that corresponds to its status."""
     if status == HTTPStatus.GONE:
         raise WatchGapError("the store no longer has these changes")
     if status not in ANSWERING_STATUSES:
         raise PlatformUnavailableError(f"the store answered {status}")
-    body = _decode(data) if data else {}
+    body = _decode_json(data) if data else {}
     if not isinstance(body, Mapping):
         raise PlatformUnavailableError("the store's answer is not an object")
     return ObjectAnswer(status, body, era)
 
 
-def _reached(answer: ObjectAnswer) -> StoreRevision:
+def _answer_revision(answer: ObjectAnswer) -> StoreRevision:
     return StoreRevision.of(answer.era, _revision(answer.body.get("at")))
 
 
-def _decode(data: bytes) -> Any:
+def _decode_json(data: bytes) -> Any:
     """Decode JSON, replacing bytes that are not valid UTF-8.
 
     Only the string with such bytes is affected: one invalid entry, which any process
@@ -327,14 +333,14 @@
     return value
 
 
-def _object(item: Any) -> PlatformObject:
+def _decode_object(item: Any) -> PlatformObject:
     """Decode an object; raise `PlatformUnavailableError` if it has no name."""
-    for found in _objects((item,)):
+    for found in _decode_objects((item,)):
         return found
     raise PlatformUnavailableError("the store's answer contains no named object")
 
 
-def _objects(items: Iterable[Any]) -> Iterator[PlatformObject]:
+def _decode_objects(items: Iterable[Any]) -> Iterator[PlatformObject]:
     """Decode objects, ignoring those without a name, which can't be identified."""
     for item in items:
         metadata = item.get("metadata") if isinstance(item, Mapping) else None
@@ -345,9 +351,9 @@
             yield PlatformObject(name, item.get("spec"), known)
 
 
-def _changes(events: Iterable[Any]) -> Iterator[ObjectChange]:
+def _decode_changes(events: Iterable[Any]) -> Iterator[ObjectChange]:
     for event in events:
         if not isinstance(event, Mapping):
             continue
-        for changed in _objects((event.get("object"),)):
+        for changed in _decode_objects((event.get("object"),)):
             yield ObjectChange(changed, bool(event.get("gone")))
--- a/src/piershore/platform/routing_codec.py
+++ b/src/piershore/platform/routing_codec.py
@@ -37,33 +37,33 @@
         limits = fields.get("limits")
         return PartialConfiguration(
             version=None if version is None else int(version),
-            routes=_all(fields, "routes", _route),
-            services=_all(fields, "services", _service),
+            routes=_decode_list(fields, "routes", _route),
+            services=_decode_list(fields, "services", _service),
             accounts_by_key=dict(_accounts(fields.get("tenants") or ())),
             limits=_limits(limits) if limits else None,
             requires_keys=bool(fields.get("tenants")),
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise _unreadable(error) from error
+        raise _invalid(error) from error
 
 
 def merge_decoded_configurations(
-    pieces: Iterable[PartialConfiguration],
+    partials: Iterable[PartialConfiguration],
 ) -> ServingConfiguration:
     """Merge configurations; raise `InvalidObjectError` if the result is incomplete."""
     try:
-        return merge_partial_configurations(pieces)
+        return merge_partial_configurations(partials)
     except ValueError as error:
-        raise _unreadable(error) from error
+        raise _invalid(error) from error
 
 
-def _all(
+def _decode_list(
     fields: Mapping, name: str, decode: Callable[[Mapping], Entry]
 ) -> tuple[Entry, ...] | None:
     return tuple(map(decode, fields[name])) if name in fields else None
 
 
-def _unreadable(error: Exception) -> InvalidObjectError:
+def _invalid(error: Exception) -> InvalidObjectError:
     return InvalidObjectError(f"the configuration is invalid: {error!r}")
 
 
--- a/src/piershore/platform/settled_write.py
+++ b/src/piershore/platform/settled_write.py
@@ -45,7 +45,7 @@
             await trio.sleep(BASE_BACKOFF_SECONDS * 2 ** (attempt - 1))
         try:
             written = await _put_once(
-                store, name, value, version, write_id, is_again=attempt > 0
+                store, name, value, version, write_id, is_retry=attempt > 0
             )
         except StaleVersionError as error:
             if attempt and store.era > era:
@@ -68,7 +68,7 @@
     version: int,
     write_id: str,
     *,
-    is_again: bool,
+    is_retry: bool,
 ) -> StoredObject | None:
     """Write once; return the object that contains the write, or None if unknown."""
     try:
@@ -76,14 +76,14 @@
     except WriteUncertainError:
         return None
     except PlatformUnavailableError:
-        if not is_again:
+        if not is_retry:
             raise
         return None
     except StaleVersionError as error:
         current = error.current
         if current is not None and write_id in current.write_ids:
             return current
-        if value is None and current is None and is_again:
+        if value is None and current is None and is_retry:
             # An earlier attempt removed the object, and its answer was lost.
             return StoredObject(name, version + 1, None, (write_id,))
         raise
