--- a/src/piershore/http1/client_connection.py
+++ b/src/piershore/http1/client_connection.py
@@ -14,13 +14,13 @@
 RECEIVE_BYTES = 65_536
 MAX_HEAD_BYTES = 65_536
 MAX_FOREIGN_ANSWERS = 4
-"""Maximum number of answers to earlier requests that are skipped."""
+"""Number of answers to earlier requests after which the exchange fails."""
 
 KEEPALIVE_PROBE_SECONDS = 1
 """Idle time before a TCP keepalive probe, and the wait for its answer. A dead
-connection breaks after 2 s, by which time new ones may long work again. Without probes
-a call that should wait for 4 s would wait for 5.4 s. A lost probe costs only one more
-connection."""
+connection breaks after 2 s; by then new ones may have worked for a while. Without
+probes, a call that should wait for 4 s would wait for 5.4 s. A lost probe only costs
+one more connection."""
 MAX_UNANSWERED_PROBES = 1
 
 AnswerFilter = Callable[[ResponseHead], bool]
@@ -187,7 +187,7 @@
                 self.keep_alive_seconds = float(seconds)
 
     async def _skip_answer(self) -> None:
-        """Read the rest of an answer to an earlier request; the own one follows."""
+        """Read the rest of an answer to an earlier request, and start over."""
         await self.read_body()
         trailing, closed = self._connection.trailing_data
         self._connection = self._new_codec()
--- a/src/piershore/http1/server_connection.py
+++ b/src/piershore/http1/server_connection.py
@@ -82,7 +82,9 @@
                 if isinstance(event, h11.EndOfMessage):
                     return b"".join(chunks)
                 if isinstance(event, h11.ConnectionClosed):
-                    raise trio.BrokenResourceError("the caller left midway")
+                    raise trio.BrokenResourceError(
+                        "the caller disconnected during its request"
+                    )
                 size += len(event.data)
                 if size > limits.body_bytes:
                     raise self._body_too_large()
--- a/src/piershore/platform/settled_write.py
+++ b/src/piershore/platform/settled_write.py
@@ -36,8 +36,8 @@
     an attempt that took effect before the restore may be in force elsewhere.
 
     Raise `StaleVersionError` if the object has changed, `WriteUncertainError` if
-    that stays unknown, and `PlatformUnavailableError` if the store is unavailable for
-    the first attempt.
+    the outcome stays unknown, and `PlatformUnavailableError` if the store is
+    unavailable at the first attempt.
     """
     era = store.era
     for attempt in range(MAX_ATTEMPTS):
