--- a/src/piershore/platform/object_client.py
+++ b/src/piershore/platform/object_client.py
@@ -142,7 +142,7 @@
                     "the store was restored from an older copy during the read"
                 )
             era = answer.era
-            page = list(_decode_objects(_entries(answer.body, "items")))
+            page = list(_objects(_entries(answer.body, "items")))
             objects.extend(page)
             if not answer.body.get("more") or not page:
                 return ObjectList(tuple(objects), _answer_revision(answer))
@@ -163,18 +163,14 @@
         answer = await self._get(path, wait + WATCH_GRACE_SECONDS)
         if answer.era != revision.era:
             raise WatchGapError("the store was restored from an older copy")
-        changes = tuple(_decode_changes(_entries(answer.body, "events")))
+        changes = tuple(_changes(_entries(answer.body, "events")))
         return ObjectChanges(changes, _answer_revision(answer))
 
     async def get(self, kind: str, name: str) -> PlatformObject | None:
         """Read one object; return None if it doesn't exist."""
         call = ObjectCall(b"GET", f"/objects/{kind}/{quote(name)}")
         answer = await self._call(call, CALL_SECONDS)
-        return (
-            None
-            if answer.status == HTTPStatus.NOT_FOUND
-            else _decode_object(answer.body)
-        )
+        return None if answer.status == HTTPStatus.NOT_FOUND else _object(answer.body)
 
     async def create(self, kind: str, name: str, spec: Mapping) -> PlatformObject:
         """Create an object; raise `ObjectConflictError` if it exists.
@@ -216,9 +212,9 @@
     async def _write(self, call: ObjectCall) -> PlatformObject:
         answer = await self._call(call, CALL_SECONDS)
         if answer.status in (HTTPStatus.CONFLICT, HTTPStatus.NOT_FOUND):
-            current = _decode_object(answer.body) if answer.body else None
+            current = _object(answer.body) if answer.body else None
             raise ObjectConflictError("the object has changed", current)
-        return _decode_object(answer.body)
+        return _object(answer.body)
 
     async def _call(self, call: ObjectCall, timeout: float) -> ObjectAnswer:
         self._is_sent = False
@@ -243,7 +239,7 @@
         data = b"".join([chunk async for chunk in self._read_chunks(connection)])
         if not connection.end_exchange():
             await self.close()
-        return _decode_answer(answer.status, data, era)
+        return _answer(answer.status, data, era)
 
     async def _send(
         self, connection: ClientConnection, call: ObjectCall
@@ -289,7 +285,7 @@
     return None if value is None else value.decode("latin-1").strip()
 
 
-def _decode_answer(status: int, data: bytes, era: int) -> ObjectAnswer:
+def _answer(status: int, data: bytes, era: int) -> ObjectAnswer:
     """Decode an answer, or raise the error that corresponds to its status."""
     if status == HTTPStatus.GONE:
         raise WatchGapError("the store no longer has these changes")
@@ -333,14 +329,14 @@
     return value
 
 
-def _decode_object(item: Any) -> PlatformObject:
+def _object(item: Any) -> PlatformObject:
     """Decode an object; raise `PlatformUnavailableError` if it has no name."""
-    for found in _decode_objects((item,)):
+    for found in _objects((item,)):
         return found
     raise PlatformUnavailableError("the store's answer contains no named object")
 
 
-def _decode_objects(items: Iterable[Any]) -> Iterator[PlatformObject]:
+def _objects(items: Iterable[Any]) -> Iterator[PlatformObject]:
     """Decode objects, ignoring those without a name, which can't be identified."""
     for item in items:
         metadata = item.get("metadata") if isinstance(item, Mapping) else None
@@ -351,9 +347,9 @@
             yield PlatformObject(name, item.get("spec"), known)
 
 
-def _decode_changes(events: Iterable[Any]) -> Iterator[ObjectChange]:
+def _changes(events: Iterable[Any]) -> Iterator[ObjectChange]:
     for event in events:
         if not isinstance(event, Mapping):
             continue
-        for changed in _decode_objects((event.get("object"),)):
+        for changed in _objects((event.get("object"),)):
             yield ObjectChange(changed, bool(event.get("gone")))
