--- a/src/piershore/platform/object_client.py
+++ b/src/piershore/platform/object_client.py
@@ -112,12 +112,12 @@
         self._connection: ClientConnection | None = None
         self._is_sent = False
         self._era = StoreEra() if era is None else era
-        self._heard_at = float("-inf")
+        self._last_received_at = float("-inf")
 
     @property
     def last_received_at(self) -> float:
         """When bytes of an answer were last received, by trio's clock."""
-        return self._heard_at
+        return self._last_received_at
 
     @property
     def era(self) -> StoreEra:
@@ -145,7 +145,7 @@
             page = list(_objects(_entries(answer.body, "items")))
             objects.extend(page)
             if not answer.body.get("more") or not page:
-                return ObjectList(tuple(objects), _reached(answer))
+                return ObjectList(tuple(objects), _answer_revision(answer))
             after = page[-1].name
 
     async def watch(
@@ -164,7 +164,7 @@
         if answer.era != revision.era:
             raise WatchGapError("the store was restored from an older copy")
         changes = tuple(_changes(_entries(answer.body, "events")))
-        return ObjectChanges(changes, _reached(answer))
+        return ObjectChanges(changes, _answer_revision(answer))
 
     async def get(self, kind: str, name: str) -> PlatformObject | None:
         """Read one object; return None if it doesn't exist."""
@@ -234,14 +234,14 @@
     async def _exchange(self, call: ObjectCall, timeout: float) -> ObjectAnswer:
         with trio.fail_after(timeout + CONNECT_SECONDS):
             connection = await self._connect()
-            answer = await self._start(connection, call)
+            answer = await self._send(connection, call)
         era = self._era.value
-        data = b"".join([part async for part in self._parts(connection)])
+        data = b"".join([chunk async for chunk in self._read_chunks(connection)])
         if not connection.end_exchange():
             await self.close()
         return _answer(answer.status, data, era)
 
-    async def _start(
+    async def _send(
         self, connection: ClientConnection, call: ObjectCall
     ) -> ResponseHead:
         """Send a call and read the head of its answer."""
@@ -254,18 +254,20 @@
         head = RequestHead(call.method, call.path.encode(), tuple(headers))
         await connection.send(head, body)
         answer = await connection.read_head()
-        self._heard_at = trio.current_time()
-        if not self._era.observe(_text(answer.header(ERA_HEADER)), self._heard_at):
+        self._last_received_at = trio.current_time()
+        if not self._era.observe(
+            _decode_header(answer.header(ERA_HEADER)), self._last_received_at
+        ):
             reason = "the answer is from before the store was restored"
             if call.method == b"GET":
                 raise PlatformUnavailableError(reason)
             raise WriteUncertainError(reason)
         return answer
 
-    async def _parts(self, connection: ClientConnection) -> AsyncIterator[bytes]:
-        async for part in connection.read_chunks(STALL_TIMEOUT_SECONDS):
-            self._heard_at = trio.current_time()
-            yield part
+    async def _read_chunks(self, connection: ClientConnection) -> AsyncIterator[bytes]:
+        async for chunk in connection.read_chunks(STALL_TIMEOUT_SECONDS):
+            self._last_received_at = trio.current_time()
+            yield chunk
 
     async def _connect(self) -> ClientConnection:
         if self._connection is None or not self._connection.is_clean():
@@ -279,7 +281,7 @@
         return self._connection
 
 
-def _text(value: bytes | None) -> str | None:
+def _decode_header(value: bytes | None) -> str | None:
     return None if value is None else value.decode("latin-1").strip()
 
 
@@ -289,17 +291,17 @@
         raise WatchGapError("the store no longer has these changes")
     if status not in ANSWERING_STATUSES:
         raise PlatformUnavailableError(f"the store answered {status}")
-    body = _decode(data) if data else {}
+    body = _decode_json(data) if data else {}
     if not isinstance(body, Mapping):
         raise PlatformUnavailableError("the store's answer is not an object")
     return ObjectAnswer(status, body, era)
 
 
-def _reached(answer: ObjectAnswer) -> StoreRevision:
+def _answer_revision(answer: ObjectAnswer) -> StoreRevision:
     return StoreRevision.of(answer.era, _revision(answer.body.get("at")))
 
 
-def _decode(data: bytes) -> Any:
+def _decode_json(data: bytes) -> Any:
     """Decode JSON, replacing bytes that are not valid UTF-8.
 
     Only the string with such bytes is affected: one invalid entry, which any process
