--- a/features/explain.feature
+++ b/features/explain.feature
@@ -1,12 +1,12 @@
 Feature: Reconstructing a request's timeline from logs alone
 
-  Scenario Outline: a request that <fate>
-    Given the logs of a gateway at which a request <fate>
+  Scenario Outline: a request that <outcome>
+    Given the logs of a gateway at which a request <outcome>
     When its timeline is requested
     Then the timeline has <words> in this order
 
     Examples:
-      | fate                             | words                                                                            |
+      | outcome                          | words                                                                            |
       | was refused by all endpoints     | attempt_started, rejected, attempt_started, request_refused                      |
       | may have run                     | attempt_started, maybe_run, request_refused, endpoint_failed                     |
       | was moved                        | attempt_started, endpoint_left, move_started, stream_continued, request_answered |
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -17,7 +17,7 @@
 from piershore.commands.command import ExitCode
 from standins.published_store import StoreFault
 
-LONGEST_VIEW_AGE_SECONDS = 3.0
+MAX_VIEW_AGE_SECONDS = 3.0
 """A peer's report expires after this time."""
 
 
@@ -41,7 +41,7 @@
         reading.running_endpoint().crash()
 
 
-async def too_early(world):
+async def before_configuration(world):
     world.store.fault = StoreFault.BUSY
     await world.start_gateway(0, wait=False)
     await world.call("once", request="abc")
@@ -55,86 +55,88 @@
     await world.call("once", request="abc")
 
 
-FATES = {
+OUTCOMES = {
     "was refused by all endpoints": (refused_by_all, "desk", ["not run"] * 9),
     "may have run": (refused_by_all, "desk", ["reset"]),
     "was moved": (moved, "model", []),
     "was broken off": (broken_off, "model", []),
     "arrived after an ejection": (after_ejection, "desk", []),
-    "arrived before any configuration": (too_early, "desk", []),
+    "arrived before any configuration": (before_configuration, "desk", []),
 }
 
 
-@given("the logs of a gateway at which a request {fate}")
-def given_logs(context, fate):
-    script, service, faults = FATES[fate]
+@given("the logs of a gateway at which a request {outcome}")
+def given_logs(context, outcome):
+    script, service, faults = OUTCOMES[outcome]
     world = IngressWorld()
     world.add_endpoints(service, 3)
     for endpoint in world.endpoints:
         endpoint.faults = faults
-    if script is too_early:
+    if script is before_configuration:
         world._start_gateways = 0
     context.file = Path(tempfile.mkdtemp()) / "front-0.log"
     with context.file.open("wb") as stream:
         world.log_output = stream.fileno()
 
-        async def play(world):
+        async def run_script(world):
             await script(world)
             for _, daemon in world.gateways.values():
                 daemon._log.flush()
 
-        world.run(play)
+        world.run(run_script)
 
 
-def explain(*arguments):
+def run_explain(*arguments):
     command = [sys.executable, "-m", "piershore", "explain", *arguments]
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
 @when("its timeline is requested")
-def ask(context):
-    done = explain("abc", str(context.file), "--output=json")
-    assert done.returncode == 0, done.stderr
-    context.story = orjson.loads(done.stdout)
-    done = explain("abc", str(context.file))
-    assert len(done.stdout.splitlines()) == len(context.story)
+def request_timeline(context):
+    result = run_explain("abc", str(context.file), "--output=json")
+    assert result.returncode == 0, result.stderr
+    context.timeline = orjson.loads(result.stdout)
+    result = run_explain("abc", str(context.file))
+    assert len(result.stdout.splitlines()) == len(context.timeline)
 
 
 @then("the timeline has {words} in this order")
-def check_story(context, words):
-    told = iter(
+def check_timeline(context, words):
+    values = iter(
         str(value)
-        for line in context.story
+        for line in context.timeline
         for value in (line["event"], line.get("outcome"), line.get("code"))
     )
     for word in words.split(","):
-        assert any(word.strip() == value for value in told), (word, context.story)
+        assert any(word.strip() == value for value in values), (word, context.timeline)
 
 
 @then("invalid log lines are skipped and an unknown request is reported")
-def check_faulty(context):
+def check_invalid_lines(context):
     with tempfile.NamedTemporaryFile(suffix=".log") as file:
         file.write(b'{"time": "x"}\nnot json\n{"time":"2026-01-01T00:00:00Z","bo')
         file.flush()
-        done = explain("abc", file.name)
-    assert done.returncode == ExitCode.FAILED
-    assert "no line names request abc" in done.stderr
-    assert explain("abc", "/no/such/file").returncode == ExitCode.FAILED
+        result = run_explain("abc", file.name)
+    assert result.returncode == ExitCode.FAILED
+    assert "no line names request abc" in result.stderr
+    assert run_explain("abc", "/no/such/file").returncode == ExitCode.FAILED
 
 
 @then("each attempt lists the endpoints that were not chosen")
-def choice_tells_others(context):
-    choices = [line for line in context.story if line["event"] == "attempt_started"]
-    assert [len(choice["others"]) for choice in choices] == [2, 1, 0], choices
-    for choice in choices:
-        for other in choice["others"]:
-            assert other["endpoint"] != choice["endpoint"]
-            assert other["cost"] + 0.001 >= choice["cost"]
+def check_alternatives(context):
+    attempts = [line for line in context.timeline if line["event"] == "attempt_started"]
+    assert [len(attempt["others"]) for attempt in attempts] == [2, 1, 0], attempts
+    for attempt in attempts:
+        for other in attempt["others"]:
+            assert other["endpoint"] != attempt["endpoint"]
+            assert other["cost"] + 0.001 >= attempt["cost"]
             assert other["known_requests"] == other["known_tokens"] == 0
-        assert 0 <= choice["view_age"] < LONGEST_VIEW_AGE_SECONDS
+        assert 0 <= attempt["view_age"] < MAX_VIEW_AGE_SECONDS
 
 
 @then("its attempt lists the ejected endpoint")
-def choice_names_ejected(context):
-    choice = next(line for line in context.story if line["event"] == "attempt_started")
-    assert choice["ejected"] == ["i-0"], choice
+def check_ejected_endpoint(context):
+    attempt = next(
+        line for line in context.timeline if line["event"] == "attempt_started"
+    )
+    assert attempt["ejected"] == ["i-0"], attempt
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -19,14 +19,14 @@
 from piershore.gateway.agent_links import AgentLinks
 from piershore.wire.link_pb2 import AgentFrame, AgentHello, Heartbeat, HeldInterval
 
-HELD = HeldInterval(layout_start=0, slot_count=1, slot=0, start=5, end=9)
+HELD_INTERVAL = HeldInterval(layout_start=0, slot_count=1, slot=0, start=5, end=9)
 
 
 def receive(link, frame):
-    async def take():
+    async def deliver():
         link._frame_received(frame)
 
-    trio.run(take)
+    trio.run(deliver)
 
 
 class SilentClient:
@@ -37,7 +37,7 @@
 
 
 @given("a link whose agent has greeted and told nothing else yet")
-def given_greeted(context):
+def given_link_after_hello(context):
     status = EndpointStatus(
         service="desk", data_hall="ikeja", address="127.0.0.1:1", incarnation="new"
     )
@@ -54,8 +54,8 @@
 
 @when("the agent's first heartbeat comes")
 def first_heartbeat(context):
-    beat = Heartbeat(complete_to=0, intervals=[HELD])
-    receive(context.link, AgentFrame(heartbeat=beat))
+    heartbeat = Heartbeat(complete_to=0, intervals=[HELD_INTERVAL])
+    receive(context.link, AgentFrame(heartbeat=heartbeat))
 
 
 @then("the link takes requests for the keys that the agent may run")
@@ -65,7 +65,7 @@
     assert (held.interval.start, held.interval.end) == (5, 9)
 
 
-class NoTasks:
+class IdleNursery:
     """A nursery that starts nothing."""
 
     def start_soon(self, function, *arguments):
@@ -80,7 +80,7 @@
 
 
 @given("a gateway whose link was opened again before it heard who is there now")
-def given_found_first(context):
+def given_reopened_link(context):
     context.view = ConfigView()
     spec = Service(ServiceType.PLAIN, ("order",))
     service = ObjectName(ObjectKind.SERVICE, "desk")
@@ -88,7 +88,7 @@
     context.links = AgentLinks(
         "gateway-1", "ikeja", "least_work_of_two", 8, context.view
     )
-    context.links._nursery = NoTasks()
+    context.links._nursery = IdleNursery()
     announce(context, "old", 2)
     (context.link,) = context.links.all
     context.link._client = SilentClient()
@@ -109,7 +109,7 @@
 
 
 @given("a link that waits to be opened again")
-def given_waiting(context):
+def given_waiting_link(context):
     status = EndpointStatus("desk", "ikeja", "127.0.0.1:1", "old")
     context.link = AgentLink("gateway-1", "order-1", status, ConfigView())
 
--- a/features/steps/losses_steps.py
+++ b/features/steps/losses_steps.py
@@ -13,20 +13,20 @@
 
 from piershore.commands.command import ExitCode
 
-BEGAN = datetime(2026, 1, 1, tzinfo=UTC)
+STARTED_AT = datetime(2026, 1, 1, tzinfo=UTC)
 BOX = "front-1"
 REQUEST = "abc"
-AIM_SECONDS = 1.0
+TARGET_LATENCY_SECONDS = 1.0
 
 
 def line(event, at, request=REQUEST, **fields):
-    time = (BEGAN + timedelta(seconds=at)).isoformat()
+    time = (STARTED_AT + timedelta(seconds=at)).isoformat()
     record = {"time": time, "box": BOX, "event": event, "request": request, **fields}
     return orjson.dumps(record)
 
 
 def answered(request=REQUEST, at=2.0, **fields):
-    usual = {
+    defaults = {
         "endpoint": "i-1",
         "status": 200,
         "seconds": 0.5,
@@ -34,12 +34,12 @@
         "longest_pause": 0.0,
         "moves": 0,
         "made_tokens": 0,
-        "aim": AIM_SECONDS,
+        "aim": TARGET_LATENCY_SECONDS,
     }
-    return line("request_answered", at, request, **{**usual, **fields})
+    return line("request_answered", at, request, **{**defaults, **fields})
 
 
-STARTED_AGAIN = line("process_started", 9.0, "", incarnation="other")
+RESTARTED = line("process_started", 9.0, "", incarnation="other")
 LAST_LINES = {
     "complete in time": answered(),
     "complete after the target latency": answered(first_seconds=1.5),
@@ -49,30 +49,30 @@
     "refused": line("request_refused", 2.0, status=503, code="no_endpoint"),
     "broken off": line("stream_broken_off", 2.0, reason="reset"),
     "caller disconnected": line("caller_gone", 2.0),
-    "gateway restarted": STARTED_AGAIN,
+    "gateway restarted": RESTARTED,
     "no further line": line("process_started", 0.5, "", incarnation="own"),
-    "gateway restarted, behind a truncated line": STARTED_AGAIN[:40] + STARTED_AGAIN,
+    "gateway restarted, behind a truncated line": RESTARTED[:40] + RESTARTED,
 }
 
 
-def ask(*arguments):
-    return ask_verb("losses", *arguments)
+def run_losses(*arguments):
+    return run_command("losses", *arguments)
 
 
-def ask_verb(verb, *arguments):
-    command = [sys.executable, "-m", "piershore", verb, *arguments]
+def run_command(name, *arguments):
+    command = [sys.executable, "-m", "piershore", name, *arguments]
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-def write(context, lines):
+def write_log(context, lines):
     context.file = Path(tempfile.mkdtemp(prefix="losses-")) / "front-1.log"
     context.file.write_bytes(b"\n".join(lines) + b"\n")
 
 
 @given('logs in which a request\'s last line is "{last}"')
-def given_last(context, last):
-    began = line("attempt_started", 1.0, route="report", endpoint="i-1", attempt=1)
-    write(context, [began, LAST_LINES[last]])
+def given_last_line(context, last):
+    attempt = line("attempt_started", 1.0, route="report", endpoint="i-1", attempt=1)
+    write_log(context, [attempt, LAST_LINES[last]])
 
 
 @given(
@@ -88,15 +88,15 @@
 
     lines = [stream(f"a-{n}", "i-fast", fast) for n in range(many)]
     lines += [stream(f"b-{n}", "i-slow", slow) for n in range(few)]
-    write(context, lines)
+    write_log(context, lines)
 
 
 @when("the losses are requested")
-def ask_losses(context):
-    context.shown = ask(str(context.file))
-    done = ask(str(context.file), "--output", "json")
-    assert done.returncode == ExitCode.OK, done.stderr
-    context.review = orjson.loads(done.stdout)
+def request_losses(context):
+    context.text_result = run_losses(str(context.file))
+    result = run_losses(str(context.file), "--output", "json")
+    assert result.returncode == ExitCode.OK, result.stderr
+    context.review = orjson.loads(result.stdout)
 
 
 @then('its cause is "{cause}"')
@@ -104,27 +104,27 @@
     causes = [loss["cause"] for loss in context.review["losses"]]
     assert causes == ([] if cause == "none" else [cause]), causes
     assert context.review["requests"] == 1
-    assert cause == "none" or cause in context.shown.stdout
+    assert cause == "none" or cause in context.text_result.stdout
 
 
 @then("the engines' paces are {fast:g} and {slow:g} times the bound")
 def check_paces(context, fast, slow):
-    rows = [text.split() for text in context.shown.stdout.splitlines()]
+    rows = [text.split() for text in context.text_result.stdout.splitlines()]
     of_bound = {row[0]: float(row[4]) for row in rows if row and row[0][:2] == "i-"}
     assert of_bound == {"i-fast": fast, "i-slow": slow}, of_bound
 
 
 @then("the command fails and names the error")
-def check_no_request(context):
-    write(context, [STARTED_AGAIN])
-    empty = ask(str(context.file))
+def check_errors(context):
+    write_log(context, [RESTARTED])
+    empty = run_losses(str(context.file))
     assert empty.returncode == ExitCode.FAILED and "no line names" in empty.stderr
-    missing = ask(str(context.file.with_name("none.log")))
+    missing = run_losses(str(context.file.with_name("none.log")))
     assert missing.returncode == ExitCode.FAILED and "none.log" in missing.stderr
 
 
 @given("logs in which {count:d} generations make twice the expected tokens")
-def given_longer(context, count):
+def given_longer_generations(context, count):
     lines = []
     for number in range(count):
         request, at = f"r-{number}", number * 0.1
@@ -139,18 +139,20 @@
 
 
 @when("the length estimates are reviewed")
-def ask_beliefs(context):
-    context.asked = ask_verb(
+def review_length_estimates(context):
+    context.command_result = run_command(
         "beliefs", str(context.file), "--window", "60", "--output", "json"
     )
-    context.empty = ask_verb("beliefs", "/dev/null")
+    context.empty_result = run_command("beliefs", "/dev/null")
 
 
 @then("actual over expected tokens is 2.0, and the command fails without generations")
-def check_beliefs(context):
-    assert context.asked.returncode == ExitCode.OK, context.asked.stderr
-    (row,) = orjson.loads(context.asked.stdout)
+def check_length_estimates(context):
+    assert context.command_result.returncode == ExitCode.OK, (
+        context.command_result.stderr
+    )
+    (row,) = orjson.loads(context.command_result.stdout)
     assert row["route"] == "review"
     assert row["generations"] == 100
     assert row["made/expected"] == 2.0
-    assert context.empty.returncode == ExitCode.FAILED
+    assert context.empty_result.returncode == ExitCode.FAILED
--- a/src/piershore/endpoints/http_engine_client.py
+++ b/src/piershore/endpoints/http_engine_client.py
@@ -28,14 +28,14 @@
 MAX_CONNECTIONS = 4_096
 
 
-def _rest_asked(response: httpx.Response) -> float | None:
+def _requested_backoff(response: httpx.Response) -> float | None:
     """Return the seconds for which the engine asks callers to back off, if it does."""
     if response.status_code != httpx.codes.SERVICE_UNAVAILABLE:
         return None
     return longest_backoff(response.headers.get_list(RETRY_AFTER))
 
 
-def _ignore(rate: float | None) -> None:
+def _ignore_rate(rate: float | None) -> None:
     """Ignore a rate while no listener is set."""
 
 
@@ -50,7 +50,7 @@
             limits=httpx.Limits(max_connections=MAX_CONNECTIONS),
             trust_env=False,
         )
-        self._on_rate: Callable[[float | None], None] = _ignore
+        self._on_rate: Callable[[float | None], None] = _ignore_rate
 
     def set_rate_listener(self, on_rate: Callable[[float | None], None]) -> None:
         """Call `on_rate` with the requests per second in each answer, or None."""
@@ -115,8 +115,8 @@
         self, method: str, path: str, body: dict | None
     ) -> AsyncIterator[EngineTokens]:
         content = None if body is None else orjson.dumps(body)
-        opened = False
-        whole = False
+        is_open = False
+        is_complete = False
         try:
             async with self._client.stream(
                 method, path, content=content, timeout=self._stream_timeout
@@ -126,29 +126,29 @@
                     raise EngineUnknownGenerationError(
                         "the engine doesn't know the generation"
                     )
-                rest = _rest_asked(response)
-                if rest is not None and method == "POST":
+                backoff = _requested_backoff(response)
+                if backoff is not None and method == "POST":
                     raise EngineBackoffError(
-                        "the engine asks callers to back off", rest
+                        "the engine asks callers to back off", backoff
                     )
                 if response.is_error:
                     raise EngineLostError(
                         f"the engine answered with status {response.status_code}"
                     )
-                opened = True
+                is_open = True
                 async for line in response.aiter_lines():
                     item = orjson.loads(line)
                     if "end" in item:
-                        whole = True
+                        is_complete = True
                         break
                     yield EngineTokens(item["i"], tuple(item["t"]))
         except httpx.ReadTimeout as error:
-            if opened:
+            if is_open:
                 raise EngineStalledError("the engine's stream stalled") from error
             raise EngineLostError("the engine didn't answer in time") from error
         except httpx.HTTPError as error:
             raise EngineLostError("the engine's stream broke") from error
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
             raise EngineLostError("the engine sent an invalid line") from error
-        if not whole:
+        if not is_complete:
             raise EngineLostError("the engine's stream ended before its last line")
--- a/src/piershore/endpoints/http_service_client.py
+++ b/src/piershore/endpoints/http_service_client.py
@@ -42,8 +42,8 @@
             raise CallOutcomeUnknownError(
                 "the call failed before the service's answer was complete"
             ) from error
-        rest = None
+        backoff = None
         if response.status_code == httpx.codes.SERVICE_UNAVAILABLE:
-            rest = longest_backoff(response.headers.get_list(RETRY_AFTER))
+            backoff = longest_backoff(response.headers.get_list(RETRY_AFTER))
         rate = lowest_rate(response.headers.get_list(RATE_LIMIT))
-        return Answer(response.status_code, response.content, rest, rate)
+        return Answer(response.status_code, response.content, backoff, rate)
--- a/src/piershore/settings/document.py
+++ b/src/piershore/settings/document.py
@@ -86,41 +86,41 @@
             yield Finding(file, line, key, "missing", f"{key} is missing")
     for key in root:
         if key not in ROOT_KEYS:
-            place = _line_of(root, [key])
-            yield Finding(file, place, str(key), "unknown_key", "unknown key")
+            key_line = _line_of(root, [key])
+            yield Finding(file, key_line, str(key), "unknown_key", "unknown key")
     if "kind" in root and root["kind"] not in DOCUMENT_TYPES:
         known = ", ".join(DOCUMENT_TYPES)
-        place = _line_of(root, ["kind"])
-        yield Finding(file, place, "kind", "unknown_kind", f"kind is one of {known}")
+        key_line = _line_of(root, ["kind"])
+        yield Finding(file, key_line, "kind", "unknown_kind", f"kind is one of {known}")
     if "name" in root and not isinstance(root["name"], str):
-        place = _line_of(root, ["name"])
-        yield Finding(file, place, "name", "wrong_type", "name must be text")
+        key_line = _line_of(root, ["name"])
+        yield Finding(file, key_line, "name", "wrong_type", "name must be text")
 
 
 def _structure(file: str, root: dict, faults: list[Finding]) -> object:
     target = DOCUMENT_TYPES[root["kind"]]
-    plain = _plain(root["spec"])
+    plain = _to_plain(root["spec"])
     if not isinstance(plain, dict):
-        place = _line_of(root, ["spec"])
-        faults.append(Finding(file, place, "spec", "wrong_type", "must be a mapping"))
+        line = _line_of(root, ["spec"])
+        faults.append(Finding(file, line, "spec", "wrong_type", "must be a mapping"))
         return None
     checked = [_field_finding(file, root, f) for f in field_faults(target, plain)]
     faults.extend(checked)
     try:
         return converter().structure(plain, target)
     except ClassValidationError as error:
-        for text in transform_error(error, format_exception=_format):
-            found = _findings_of(file, root, text)
-            faults.extend(f for f in found if not _is_told(f, checked))
+        for text in transform_error(error, format_exception=_format_error):
+            found = _parse_findings(file, root, text)
+            faults.extend(f for f in found if not _is_reported(f, checked))
     except (TypeError, ValueError) as error:
         if not checked:
-            place = _line_of(root, ["spec"])
+            line = _line_of(root, ["spec"])
             message = str(error)
-            faults.append(Finding(file, place, "spec", "invalid_value", message))
+            faults.append(Finding(file, line, "spec", "invalid_value", message))
     return None
 
 
-def _is_told(finding: Finding, checked: list[Finding]) -> bool:
+def _is_reported(finding: Finding, checked: list[Finding]) -> bool:
     """Return whether an object's fault is already reported for one of its fields."""
     return any(
         known.path.startswith(f"{finding.path}.") and known.message in finding.message
@@ -131,10 +131,10 @@
 def _field_finding(file: str, root: dict, fault: FieldFault) -> Finding:
     steps = ["spec", *fault.path]
     line = _line_of(root, steps)
-    return Finding(file, line, _join(steps), "invalid_value", fault.message)
+    return Finding(file, line, _join_path(steps), "invalid_value", fault.message)
 
 
-def _format(error: BaseException, target: type | None) -> str:
+def _format_error(error: BaseException, target: type | None) -> str:
     if isinstance(error, ForbiddenExtraKeysError):
         return EXTRA_KEYS_PREFIX + ",".join(sorted(error.extra_fields))
     if isinstance(error, KeyError):
@@ -146,29 +146,31 @@
     return "wrong_type" if isinstance(error, TypeError) else "invalid_value"
 
 
-def _findings_of(file: str, root: dict, text: str) -> Iterator[Finding]:
+def _parse_findings(file: str, root: dict, text: str) -> Iterator[Finding]:
     message, _, raw_path = text.rpartition(" @ ")
-    steps = ["spec", *_steps(raw_path)]
+    steps = ["spec", *_parse_path(raw_path)]
     if message.startswith(EXTRA_KEYS_PREFIX):
         for key in message.removeprefix(EXTRA_KEYS_PREFIX).split(","):
-            place = [*steps, key]
-            line = _line_of(root, place)
-            yield Finding(file, line, _join(place), "unknown_key", "unknown key")
+            key_steps = [*steps, key]
+            line = _line_of(root, key_steps)
+            yield Finding(
+                file, line, _join_path(key_steps), "unknown_key", "unknown key"
+            )
         return
     code, _, detail = message.partition(": ")
     if code == "missing":
         detail = f"{detail} is missing"
-    yield Finding(file, _line_of(root, steps), _join(steps), code, detail)
+    yield Finding(file, _line_of(root, steps), _join_path(steps), code, detail)
 
 
-def _steps(raw_path: str) -> list[str | int]:
+def _parse_path(raw_path: str) -> list[str | int]:
     return [
         int(index) if index else (name or key)
         for name, key, index in PATH_STEP_PATTERN.findall(raw_path)
     ]
 
 
-def _join(steps: list[str | int]) -> str:
+def _join_path(steps: list[str | int]) -> str:
     return ".".join(str(step) for step in steps)
 
 
@@ -189,11 +191,11 @@
     return line
 
 
-def _plain(node: object) -> object:
+def _to_plain(node: object) -> object:
     if isinstance(node, dict):
-        return {str(key): _plain(value) for key, value in node.items()}
+        return {str(key): _to_plain(value) for key, value in node.items()}
     if isinstance(node, list):
-        return [_plain(item) for item in node]
+        return [_to_plain(item) for item in node]
     for scalar in (bool, int, float, str):
         if isinstance(node, scalar):
             return node if type(node) is bool else scalar(node)
--- a/src/piershore/telemetry/event_log.py
+++ b/src/piershore/telemetry/event_log.py
@@ -64,9 +64,9 @@
         self._handler = _BufferHandler()
         self._logger = logging.ABSLLogger(f"piershore.{box}")
         self._logger.addHandler(self._handler)
-        self._budget = float(MAX_LINES_PER_SECOND)
-        self._budget_at = 0.0
-        self._names: dict[type[LogEvent], tuple[str, tuple[str, ...]]] = {}
+        self._line_budget = float(MAX_LINES_PER_SECOND)
+        self._refilled_at = 0.0
+        self._schemas: dict[type[LogEvent], tuple[str, tuple[str, ...]]] = {}
 
     @property
     def omitted(self) -> int:
@@ -79,21 +79,23 @@
 
     def write(self, event: LogEvent, *, is_failure: bool = False) -> None:
         """Write one event; unless it is a failure, the rate limit may drop it."""
-        if not is_failure and not self._take_from_budget():
+        if not is_failure and not self._consume_line_budget():
             self._handler.omitted += 1
             return
-        name, names = self._describe(type(event))
+        name, field_names = self._schema_of(type(event))
         record = {"time": datetime.now(UTC).isoformat(), "box": self._box}
         record["event"] = name
-        for field_name in names:
+        for field_name in field_names:
             value = getattr(event, field_name)
             record[field_name] = round(value, 4) if type(value) is float else value
         self._logger.info("%s", orjson.dumps(record).decode())
 
     def write_internal_error(self, task: str, error: Exception) -> None:
         """Write an unexpected exception with the end of its traceback."""
-        place = "".join(traceback.format_exception(error)[-MAX_TRACEBACK_LINES:])
-        self.write(InternalError(task, repr(error), place), is_failure=True)
+        traceback_end = "".join(
+            traceback.format_exception(error)[-MAX_TRACEBACK_LINES:]
+        )
+        self.write(InternalError(task, repr(error), traceback_end), is_failure=True)
 
     async def run(self) -> None:
         """Flush the buffer at regular intervals."""
@@ -113,7 +115,7 @@
                 written = os.write(self._output, batch)
             except (BlockingIOError, BrokenPipeError):
                 return
-            self._drop_written(written)
+            self._remove_written(written)
             if written < len(batch):
                 return
 
@@ -128,7 +130,7 @@
             lines.append(line)
         return b"".join(lines)
 
-    def _drop_written(self, written: int) -> None:
+    def _remove_written(self, written: int) -> None:
         handler = self._handler
         handler.size -= written
         while written:
@@ -138,18 +140,21 @@
                 return
             written -= len(line)
 
-    def _take_from_budget(self) -> bool:
+    def _consume_line_budget(self) -> bool:
         now = trio.current_time()
-        earned = (now - self._budget_at) * MAX_LINES_PER_SECOND
-        self._budget = min(float(MAX_LINES_PER_SECOND), self._budget + earned)
-        self._budget_at = now
-        if self._budget < 1:
+        refill = (now - self._refilled_at) * MAX_LINES_PER_SECOND
+        self._line_budget = min(float(MAX_LINES_PER_SECOND), self._line_budget + refill)
+        self._refilled_at = now
+        if self._line_budget < 1:
             return False
-        self._budget -= 1
+        self._line_budget -= 1
         return True
 
-    def _describe(self, kind: type[LogEvent]) -> tuple[str, tuple[str, ...]]:
-        if kind not in self._names:
-            name = _WORD_START.sub("_", kind.__name__).lower()
-            self._names[kind] = (name, tuple(field.name for field in fields(kind)))
-        return self._names[kind]
+    def _schema_of(self, event_type: type[LogEvent]) -> tuple[str, tuple[str, ...]]:
+        if event_type not in self._schemas:
+            name = _WORD_START.sub("_", event_type.__name__).lower()
+            self._schemas[event_type] = (
+                name,
+                tuple(field.name for field in fields(event_type)),
+            )
+        return self._schemas[event_type]
--- a/src/piershore/telemetry/length_estimate_review.py
+++ b/src/piershore/telemetry/length_estimate_review.py
@@ -37,11 +37,11 @@
         """
         groups: dict[tuple[str, int], list[CompletedGeneration]] = defaultdict(list)
         for generation in self.generations:
-            place = generation.route, int(generation.seconds // window)
-            groups[place].append(generation)
+            key = generation.route, int(generation.seconds // window)
+            groups[key].append(generation)
         return [
-            _row(route, number * window, group)
-            for (route, number), group in sorted(groups.items())
+            _row(route, index * window, group)
+            for (route, index), group in sorted(groups.items())
         ]
 
 
@@ -49,20 +49,20 @@
     """Pair the length expected at each generation's start with its actual length."""
     started: dict[tuple[str, str], LogLine] = {}
     generations = []
-    first = None
+    first_at = None
     for line in lines:
-        first = first or line.at
-        place = line.box, line.request
+        first_at = first_at or line.at
+        key = line.box, line.request
         if line.event == "attempt_started" and line.fields.get("expected_tokens"):
-            started.setdefault(place, line)
-        elif line.event == "request_answered" and place in started:
-            begin = started.pop(place).fields
+            started.setdefault(key, line)
+        elif line.event == "request_answered" and key in started:
+            start_fields = started.pop(key).fields
             generations.append(
                 CompletedGeneration(
-                    str(begin["route"]),
-                    (line.at - first).total_seconds(),
-                    int(begin["expected_tokens"]),
-                    begin.get("hinted_tokens"),
+                    str(start_fields["route"]),
+                    (line.at - first_at).total_seconds(),
+                    int(start_fields["expected_tokens"]),
+                    start_fields.get("hinted_tokens"),
                     int(line.fields["made_tokens"]),
                 )
             )
--- a/src/piershore/telemetry/loss_review.py
+++ b/src/piershore/telemetry/loss_review.py
@@ -111,11 +111,11 @@
             rows[int(loss.seconds // window)][loss.cause] += 1
         return [
             {
-                "from_second": number * window,
+                "from_second": index * window,
                 "requests": causes.total(),
                 "causes": ", ".join(f"{c}: {n}" for c, n in causes.most_common()),
             }
-            for number, causes in sorted(rows.items())
+            for index, causes in sorted(rows.items())
         ]
 
     def by_engine(self) -> list[dict[str, object]]:
@@ -140,18 +140,18 @@
     ordered = sorted(lines, key=lambda line: line.at)
     if not ordered:
         return LossReview(0, (), (), 0)
-    began = ordered[0].at
-    requests = _group(ordered)
-    ends = _ends_of_boxes(ordered)
+    started_at = ordered[0].at
+    requests = _group_by_request(ordered)
+    process_starts = _process_starts(ordered)
     losses: list[Loss] = []
-    for (box, name), request in requests.items():
-        first = request.lines[0].at
-        cause = _cause(request, ends.get(box, ()), longest_pause)
+    for (box, request_id), request in requests.items():
+        received_at = request.lines[0].at
+        cause = _loss_cause(request, process_starts.get(box, ()), longest_pause)
         if cause:
-            seconds = (first - began).total_seconds()
+            seconds = (received_at - started_at).total_seconds()
             is_late = cause.startswith("late")
-            losses.append(Loss(name, request.route, seconds, cause, is_late))
-    paces = tuple(pace for r in requests.values() for pace in _paces(r))
+            losses.append(Loss(request_id, request.route, seconds, cause, is_late))
+    paces = tuple(pace for r in requests.values() for pace in _long_stream_paces(r))
     omitted = sum(
         int(line.fields.get("count", 0))
         for line in ordered
@@ -160,7 +160,7 @@
     return LossReview(len(requests), tuple(losses), paces, omitted)
 
 
-def _group(lines: Iterable[LogLine]) -> dict[tuple[str, str], _Request]:
+def _group_by_request(lines: Iterable[LogLine]) -> dict[tuple[str, str], _Request]:
     requests: dict[tuple[str, str], _Request] = defaultdict(_Request)
     for line in lines:
         if line.request:
@@ -168,22 +168,22 @@
     return requests
 
 
-def _ends_of_boxes(lines: Iterable[LogLine]) -> dict[str, list[datetime]]:
+def _process_starts(lines: Iterable[LogLine]) -> dict[str, list[datetime]]:
     """Return each box's process starts: each proves that a process before it ended."""
-    ends: dict[str, list[datetime]] = defaultdict(list)
+    starts: dict[str, list[datetime]] = defaultdict(list)
     for line in lines:
         if line.event == "process_started":
-            ends[line.box].append(line.at)
-    return ends
+            starts[line.box].append(line.at)
+    return starts
 
 
-def _cause(
+def _loss_cause(
     request: _Request, starts: Iterable[datetime], longest_pause: float
 ) -> str | None:
     """Return why a request was lost or late; None if it was served in time."""
     answered = request.last("request_answered")
     if answered is not None:
-        return _cause_of_answer(answered, longest_pause)
+        return _answer_cause(answered, longest_pause)
     refused = request.last("request_refused")
     if refused is not None:
         return f"refused: {refused.fields.get('status')} {refused.fields.get('code')}"
@@ -191,25 +191,25 @@
         return LossCause.BROKEN_OFF
     if request.last("caller_gone") is not None:
         return LossCause.CALLER_GONE
-    last = request.lines[-1].at
-    has_ended = any(start > last for start in starts)
-    return LossCause.GATEWAY_ENDED if has_ended else LossCause.NO_LAST_LINE
+    last_at = request.lines[-1].at
+    has_restarted = any(start > last_at for start in starts)
+    return LossCause.GATEWAY_ENDED if has_restarted else LossCause.NO_LAST_LINE
 
 
-def _cause_of_answer(answered: LogLine, longest_pause: float) -> LossCause | None:
+def _answer_cause(answered: LogLine, longest_pause: float) -> LossCause | None:
     fields = answered.fields
     if int(fields.get("status", 0)) >= MIN_SERVER_ERROR_STATUS:
         return LossCause.ENDPOINT_FAILED
-    aim = float(fields.get("aim") or float("inf"))
+    target_latency = float(fields.get("aim") or float("inf"))
     is_stream = int(fields.get("made_tokens", 0)) > 0
-    if float(fields.get("first_seconds", 0.0)) > aim:
+    if float(fields.get("first_seconds", 0.0)) > target_latency:
         return LossCause.LATE_FIRST if is_stream else LossCause.LATE_WHOLE
     if float(fields.get("longest_pause", 0.0)) > longest_pause:
         return LossCause.LATE_PAUSE
     return None
 
 
-def _paces(request: _Request) -> Iterator[StreamPace]:
+def _long_stream_paces(request: _Request) -> Iterator[StreamPace]:
     answered = request.last("request_answered")
     if answered is None:
         return
--- a/src/piershore/telemetry/request_timeline.py
+++ b/src/piershore/telemetry/request_timeline.py
@@ -70,9 +70,13 @@
     def as_text(self) -> str:
         """Return one line of text."""
         mark = "~" if self.is_context else " "
-        words = (f"{key}={_shown(value)}" for key, value in self.line.fields.items())
+        fields = (
+            f"{key}={_format_value(value)}" for key, value in self.line.fields.items()
+        )
         name = self.line.event.replace("_", " ")
-        return f"{self.seconds:9.3f} s {mark} {self.line.box}: {name} {' '.join(words)}"
+        return (
+            f"{self.seconds:9.3f} s {mark} {self.line.box}: {name} {' '.join(fields)}"
+        )
 
 
 def read_lines(texts: Iterable[bytes]) -> Iterator[LogLine]:
@@ -109,12 +113,12 @@
     from `CONTEXT_SECONDS` before its first line to its last.
     """
     lines = sorted(lines, key=lambda line: line.at)
-    own = [line for line in lines if line.request == request]
-    if not own:
+    request_lines = [line for line in lines if line.request == request]
+    if not request_lines:
         return
-    boxes = {line.box for line in own}
-    endpoints = frozenset().union(*(line.endpoints for line in own))
-    first, last = own[0].at, own[-1].at
+    boxes = {line.box for line in request_lines}
+    endpoints = frozenset().union(*(line.endpoints for line in request_lines))
+    first, last = request_lines[0].at, request_lines[-1].at
     for line in lines:
         seconds = (line.at - first).total_seconds()
         if line.request == request:
@@ -123,22 +127,22 @@
             line.event in CONTEXT_EVENTS
             and seconds >= -CONTEXT_SECONDS
             and line.at <= last
-            and _concerns(line, boxes, endpoints)
+            and _is_relevant(line, boxes, endpoints)
         ):
             yield TimelineEntry(seconds, line, is_context=True)
 
 
-def _concerns(line: LogLine, boxes: set[str], endpoints: frozenset[str]) -> bool:
+def _is_relevant(line: LogLine, boxes: set[str], endpoints: frozenset[str]) -> bool:
     if line.endpoints:
         return line.box in boxes and bool(line.endpoints & endpoints)
     return line.box in boxes
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     """Return a value as one word; nested records as comma-separated fields."""
     if isinstance(value, list):
-        return "[" + ";".join(map(_shown, value)) + "]"
+        return "[" + ";".join(map(_format_value, value)) + "]"
     if isinstance(value, dict):
-        return ",".join(f"{name}={_shown(part)}" for name, part in value.items())
+        return ",".join(f"{name}={_format_value(item)}" for name, item in value.items())
     text = str(value)
     return orjson.dumps(text).decode() if " " in text or not text else text
--- a/src/piershore/wire/config_batches.py
+++ b/src/piershore/wire/config_batches.py
@@ -35,18 +35,18 @@
         """Yield the batches that the receiver lacks, and mark them as sent."""
         view = self._view
         is_first = self._position is None
-        has_news = is_first or view.applied_count > self._position
-        if not has_news and view.complete_to <= self._complete_to:
+        has_changes = is_first or view.applied_count > self._position
+        if not has_changes and view.complete_to <= self._complete_to:
             return
-        changes = self._missing()
+        changes = self._missing_changes()
         self._position = view.applied_count
         self._complete_to = max(self._complete_to, view.complete_to)
         if changes is not None:
-            yield _batch(changes, view.complete_to, is_snapshot=False)
+            yield _encode_batch(changes, view.complete_to, is_snapshot=False)
             return
         yield from _snapshot_batches(view.snapshot())
 
-    def _missing(self) -> tuple[StoredObject, ...] | None:
+    def _missing_changes(self) -> tuple[StoredObject, ...] | None:
         if self._position is None:
             return self._view.changes_since(self._complete_to)
         return self._view.changes_after(self._position)
@@ -54,12 +54,12 @@
 
 def batch_of(change: StoredObject) -> ConfigBatch:
     """Return a batch of one change, which doesn't advance the receiver's revision."""
-    return _batch((change,), 0, is_snapshot=False)
+    return _encode_batch((change,), 0, is_snapshot=False)
 
 
 def apply_changes(view: ConfigView, batch: ConfigBatch) -> None:
     """Apply a batch of changes to `view`."""
-    for change in _objects(batch):
+    for change in _decode_objects(batch):
         view.apply(change)
     view.mark_complete(batch.complete_to)
 
@@ -76,7 +76,7 @@
         if not batch.is_snapshot:
             apply_changes(self._view, batch)
             return
-        self._snapshot.extend(_objects(batch))
+        self._snapshot.extend(_decode_objects(batch))
         if batch.continues:
             return
         objects, self._snapshot = tuple(self._snapshot), []
@@ -84,30 +84,30 @@
 
 
 def _snapshot_batches(snapshot: Snapshot) -> Iterator[ConfigBatch]:
-    batch = _batch((), snapshot.revision, is_snapshot=True)
+    batch = _encode_batch((), snapshot.revision, is_snapshot=True)
     size = 0
     for stored in snapshot.objects:
         if size >= SNAPSHOT_BATCH_BYTES:
             batch.continues = True
             yield batch
-            batch = _batch((), snapshot.revision, is_snapshot=True)
+            batch = _encode_batch((), snapshot.revision, is_snapshot=True)
             size = 0
-        batch.objects.append(_object(stored))
+        batch.objects.append(_encode_object(stored))
         size += len(stored.value or b"")
     yield batch
 
 
-def _batch(
+def _encode_batch(
     objects: Iterable[StoredObject], complete_to: int, *, is_snapshot: bool
 ) -> ConfigBatch:
     return ConfigBatch(
-        objects=map(_object, objects),
+        objects=map(_encode_object, objects),
         complete_to=complete_to,
         is_snapshot=is_snapshot,
     )
 
 
-def _object(stored: StoredObject) -> ConfigObject:
+def _encode_object(stored: StoredObject) -> ConfigObject:
     return ConfigObject(
         kind=stored.name.kind,
         name=stored.name.name,
@@ -117,7 +117,7 @@
     )
 
 
-def _objects(batch: ConfigBatch) -> Iterator[StoredObject]:
+def _decode_objects(batch: ConfigBatch) -> Iterator[StoredObject]:
     kinds = {kind.value: kind for kind in ObjectKind}
     for item in batch.objects:
         if item.kind not in kinds:
--- a/src/piershore/wire/link_server.py
+++ b/src/piershore/wire/link_server.py
@@ -47,13 +47,13 @@
     def __init__(self, address: str, handler: LinkHandler) -> None:
         self._address = address
         self._handler = handler
-        self._numbers = count(1)
+        self._link_ids = count(1)
         self._server: grpc.Server | None = None
-        self._token: trio.lowlevel.TrioToken | None = None
+        self._trio_token: trio.lowlevel.TrioToken | None = None
 
     def start(self) -> int:
         """Start to listen and return the port."""
-        self._token = trio.lowlevel.current_trio_token()
+        self._trio_token = trio.lowlevel.current_trio_token()
         self._server = grpc.server(
             ThreadPoolExecutor(MAX_LINKS, thread_name_prefix="link"),
             options=CHANNEL_OPTIONS,
@@ -72,12 +72,12 @@
         self, request_iterator: Iterator[GatewayFrame], context: grpc.ServicerContext
     ) -> Iterator[AgentFrame]:
         """Serve one stream; runs in a gRPC thread."""
-        link = next(self._numbers)
+        link = next(self._link_ids)
         frames: FrameQueue[AgentFrame] = FrameQueue()
         context.add_callback(frames.close)
-        self._hand_over(self._handler.link_opened, link, frames)
+        self._run_in_trio(self._handler.link_opened, link, frames)
         reader = Thread(
-            target=self._read,
+            target=self._read_frames,
             args=(link, request_iterator, frames),
             name="link-reader",
             daemon=True,
@@ -86,20 +86,20 @@
         try:
             yield from frames
         finally:
-            self._hand_over(self._handler.link_closed, link)
+            self._run_in_trio(self._handler.link_closed, link)
 
-    def _read(
+    def _read_frames(
         self,
         link: int,
-        frames_in: Iterator[GatewayFrame],
-        frames_out: FrameQueue[AgentFrame],
+        received: Iterator[GatewayFrame],
+        outgoing: FrameQueue[AgentFrame],
     ) -> None:
         # gRPC raises a bare Exception when the stream breaks.
         with suppress(Exception):
-            for frame in frames_in:
-                self._hand_over(self._handler.frame_received, link, frame)
-        frames_out.close()
+            for frame in received:
+                self._run_in_trio(self._handler.frame_received, link, frame)
+        outgoing.close()
 
-    def _hand_over(self, function: Callable[..., None], *arguments: object) -> None:
+    def _run_in_trio(self, function: Callable[..., None], *arguments: object) -> None:
         with suppress(trio.RunFinishedError):
-            self._token.run_sync_soon(function, *arguments)
+            self._trio_token.run_sync_soon(function, *arguments)
--- a/src/piershore/wire/peer_server.py
+++ b/src/piershore/wire/peer_server.py
@@ -53,11 +53,11 @@
         self._address = address
         self._handler = handler
         self._server: grpc.Server | None = None
-        self._token: trio.lowlevel.TrioToken | None = None
+        self._trio_token: trio.lowlevel.TrioToken | None = None
 
     def start(self) -> None:
         """Start to listen."""
-        self._token = trio.lowlevel.current_trio_token()
+        self._trio_token = trio.lowlevel.current_trio_token()
         self._server = grpc.server(
             ThreadPoolExecutor(MAX_CALLS, thread_name_prefix="peer"),
             options=CHANNEL_OPTIONS,
@@ -78,23 +78,27 @@
         batches: FrameQueue[ConfigBatch] = FrameQueue()
         context.add_callback(batches.close)
         with suppress(trio.RunFinishedError):
-            self._token.run_sync_soon(self._handler.follower_joined, request, batches)
+            self._trio_token.run_sync_soon(
+                self._handler.follower_joined, request, batches
+            )
             try:
                 yield from batches
             finally:
-                self._token.run_sync_soon(self._handler.follower_left, batches)
+                self._trio_token.run_sync_soon(self._handler.follower_left, batches)
 
     def Report(  # noqa: N802 - required by the generated code
         self, request: ReportRequest, context: grpc.ServicerContext
     ) -> ReportReply:
         """Return the reports; runs in a gRPC thread."""
-        return trio.from_thread.run_sync(self._handler.report, trio_token=self._token)
+        return trio.from_thread.run_sync(
+            self._handler.report, trio_token=self._trio_token
+        )
 
     def Offer(  # noqa: N802 - required by the generated code
         self, request: ConfigBatch, context: grpc.ServicerContext
     ) -> OfferReply:
         """Take over an accepted edit; runs in a gRPC thread."""
         trio.from_thread.run_sync(
-            self._handler.receive_offer, request, trio_token=self._token
+            self._handler.receive_offer, request, trio_token=self._trio_token
         )
         return OfferReply()
--- a/src/piershore/wire/stream_reader.py
+++ b/src/piershore/wire/stream_reader.py
@@ -33,13 +33,13 @@
         self._on_frame = on_frame
         self._on_close = on_close
         self._call: Iterable[Frame] | None = None
-        self._token: trio.lowlevel.TrioToken | None = None
+        self._trio_token: trio.lowlevel.TrioToken | None = None
 
     def start(self) -> None:
         """Open the stream and read it in a thread."""
-        self._token = trio.lowlevel.current_trio_token()
+        self._trio_token = trio.lowlevel.current_trio_token()
         self._call = self._open_call(self._channel)
-        Thread(target=self._read, name="stream-reader", daemon=True).start()
+        Thread(target=self._read_frames, name="stream-reader", daemon=True).start()
 
     def close(self) -> None:
         """Cancel the stream and close the channel."""
@@ -47,9 +47,9 @@
             self._call.cancel()
         self._channel.close()
 
-    def _read(self) -> None:
+    def _read_frames(self) -> None:
         with suppress(grpc.RpcError, trio.RunFinishedError):
             for frame in self._call:
-                self._token.run_sync_soon(self._on_frame, frame)
+                self._trio_token.run_sync_soon(self._on_frame, frame)
         with suppress(trio.RunFinishedError):
-            self._token.run_sync_soon(self._on_close)
+            self._trio_token.run_sync_soon(self._on_close)
