--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -37,7 +37,7 @@
 
 
 @given("a link whose agent has greeted and told nothing else yet")
-def given_link_after_hello(context):
+def given_greeted(context):
     status = EndpointStatus(
         service="desk", data_hall="ikeja", address="127.0.0.1:1", incarnation="new"
     )
@@ -80,7 +80,7 @@
 
 
 @given("a gateway whose link was opened again before it heard who is there now")
-def given_reopened_link(context):
+def given_found_first(context):
     context.view = ConfigView()
     spec = Service(ServiceType.PLAIN, ("order",))
     service = ObjectName(ObjectKind.SERVICE, "desk")
@@ -109,7 +109,7 @@
 
 
 @given("a link that waits to be opened again")
-def given_waiting_link(context):
+def given_waiting(context):
     status = EndpointStatus("desk", "ikeja", "127.0.0.1:1", "old")
     context.link = AgentLink("gateway-1", "order-1", status, ConfigView())
 
--- a/src/piershore/telemetry/request_timeline.py
+++ b/src/piershore/telemetry/request_timeline.py
@@ -118,15 +118,15 @@
         return
     boxes = {line.box for line in request_lines}
     endpoints = frozenset().union(*(line.endpoints for line in request_lines))
-    first, last = request_lines[0].at, request_lines[-1].at
+    first_at, last_at = request_lines[0].at, request_lines[-1].at
     for line in lines:
-        seconds = (line.at - first).total_seconds()
+        seconds = (line.at - first_at).total_seconds()
         if line.request == request:
             yield TimelineEntry(seconds, line, is_context=False)
         elif (
             line.event in CONTEXT_EVENTS
             and seconds >= -CONTEXT_SECONDS
-            and line.at <= last
+            and line.at <= last_at
             and _is_relevant(line, boxes, endpoints)
         ):
             yield TimelineEntry(seconds, line, is_context=True)
