--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -19,14 +19,14 @@
 from piershore.gateway.agent_links import AgentLinks
 from piershore.wire.link_pb2 import AgentFrame, AgentHello, Heartbeat, HeldInterval
 
-HELD = HeldInterval(layout_start=0, slot_count=1, slot=0, start=5, end=9)
+HELD_INTERVAL = HeldInterval(layout_start=0, slot_count=1, slot=0, start=5, end=9)
 
 
 def receive(link, frame):
-    async def take():
+    async def deliver():
         link._frame_received(frame)
 
-    trio.run(take)
+    trio.run(deliver)
 
 
 class SilentClient:
@@ -54,8 +54,8 @@
 
 @when("the agent's first heartbeat comes")
 def first_heartbeat(context):
-    beat = Heartbeat(complete_to=0, intervals=[HELD])
-    receive(context.link, AgentFrame(heartbeat=beat))
+    heartbeat = Heartbeat(complete_to=0, intervals=[HELD_INTERVAL])
+    receive(context.link, AgentFrame(heartbeat=heartbeat))
 
 
 @then("the link takes requests for the keys that the agent may run")
@@ -65,7 +65,7 @@
     assert (held.interval.start, held.interval.end) == (5, 9)
 
 
-class NoTasks:
+class IdleNursery:
     """A nursery that starts nothing."""
 
     def start_soon(self, function, *arguments):
@@ -88,7 +88,7 @@
     context.links = AgentLinks(
         "gateway-1", "ikeja", "least_work_of_two", 8, context.view
     )
-    context.links._nursery = NoTasks()
+    context.links._nursery = IdleNursery()
     announce(context, "old", 2)
     (context.link,) = context.links.all
     context.link._client = SilentClient()
