--- a/features/own_store_returns.feature
+++ b/features/own_store_returns.feature
@@ -38,7 +38,7 @@
     When order-1 is killed, and order-2 takes over its mint times and runs keys of them
     And the store is restored from an older copy and order-1 restarts
     Then order-1 runs none of the keys again
-    And 20 calls without a key each run once
+    And 20 calls without a key run once each
     And keys that callers mint run again after a while, each once
 
   Scenario: Random edits, restores and network partitions of gateways
