--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -184,7 +184,7 @@
     Mutant(
         "accepted edits aren't offered to relays",
         "gateway/config_editor.py",
-        "        self._accepted(written)\n",
+        "        self._on_accepted(written)\n",
         "",
         "accepted_config",
     ),
@@ -435,7 +435,7 @@
     Mutant(
         "lost edits aren't written again",
         RESTORER,
-        "for name in list(self._due(now)):",
+        "for name in list(self._names_due(now)):",
         "for name in ():",
         "own_store_returns",
     ),
@@ -489,16 +489,16 @@
         "own_store_returns",
     ),
     Mutant(
-        "deletions at once after a return",
+        "deletions are allowed at once after a restore",
         RESTORER,
         "SETTLE_SECONDS = 3.0",
         "SETTLE_SECONDS = 0.0",
         "own_store_returns",
     ),
     Mutant(
-        "conflicts with the copy are told",
+        "conflicts with a restored older copy are reported",
         "gateway/config_editor.py",
-        "self._check_lost(name, error)",
+        "self._check_not_lost(name, error)",
         "pass",
         "own_store_returns",
     ),
--- a/features/steps/api_steps.py
+++ b/features/steps/api_steps.py
@@ -136,9 +136,9 @@
         answer = context.world.deployment.admin(
             "gateway-1", method, path, body, headers
         )
-        got = (answer.status_code, answer.json()["code"])
-        if got != (int(row["status"]), row["code"]):
-            faults.append((row["edit"], got, answer.text))
+        answered = (answer.status_code, answer.json()["code"])
+        if answered != (int(row["status"]), row["code"]):
+            faults.append((row["edit"], answered, answer.text))
     assert not faults, faults
 
 
@@ -152,16 +152,16 @@
     }
     faults = []
     for row in context.table:
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "piershore", *shlex.split(row["command"])],
             env=environment,
             check=False,
             capture_output=True,
             text=True,
         )
-        output = done.stdout + done.stderr
-        if done.returncode != int(row["exit"]) or row["output"] not in output:
-            faults.append((row["command"], done.returncode, output))
+        output = process.stdout + process.stderr
+        if process.returncode != int(row["exit"]) or row["output"] not in output:
+            faults.append((row["command"], process.returncode, output))
     assert not faults, faults
 
 
--- a/features/steps/config_steps.py
+++ b/features/steps/config_steps.py
@@ -38,9 +38,9 @@
                 except Exception:
                     continue
                 for box in boxes["boxes"]:
-                    note(box)
+                    record_version(box)
 
-    def note(box):
+    def record_version(box):
         # A restarted box begins without a configuration, so it isn't checked.
         name, version = box["box"], box["complete_to"]
         if box["state"] != "live" or name in world.values.get("restarted", ()):
@@ -52,17 +52,17 @@
     Thread(target=watch, daemon=True).start()
 
 
-def lose_answer(world):
+def edit_with_lost_answer(world):
     world.deployment.set_faults(lose_answers=1)
     return edit(world, 77)
 
 
-def lose_change(world):
+def edit_with_dropped_change(world):
     world.deployment.set_faults(drop_changes=1)
     return edit(world, 77)
 
 
-def stale_reads(world):
+def edit_with_stale_reads(world):
     etag = read(world).headers["ETag"]
     world.deployment.set_faults(stale_reads=True)
     answer = edit(world, 76, etag=etag)
@@ -70,13 +70,13 @@
     return edit(world, 77, etag=answer.headers["ETag"])
 
 
-def outage_after(world):
+def edit_before_outage(world):
     # The outage begins as the edit is accepted: no watch delivers it.
     world.deployment.set_faults(outage_after_write=True)
     return edit(world, 77)
 
 
-def kill_relay(world):
+def edit_and_restart_relay(world):
     world.values["restarted"] = {"gateway-2"}
     answer = edit(world, 77)
     world.deployment.process("gateway-2").kill()
@@ -85,7 +85,7 @@
     return answer
 
 
-def freeze_relay(world):
+def edit_with_suspended_relay(world):
     process = world.deployment.process("gateway-2")
     process.freeze()
     answer = edit(world, 77)
@@ -94,7 +94,7 @@
     return answer
 
 
-def replace_agent(world):
+def edit_and_restart_agent(world):
     world.values["restarted"] = {"order-1"}
     world.deployment.process("order-1").kill()
     answer = edit(world, 77)
@@ -102,24 +102,24 @@
     return answer
 
 
-def nothing(world):
+def edit_without_fault(world):
     return edit(world, 77)
 
 
 FAULTS = {
-    "nothing fails": nothing,
-    "the answer to the write is lost": lose_answer,
-    "the watch drops a change": lose_change,
-    "the platform's reads are stale": stale_reads,
-    "the platform becomes unavailable after the write": outage_after,
-    "a relay is killed and restarted": kill_relay,
-    "a relay is suspended and resumes with old state": freeze_relay,
-    "an agent is killed and restarted": replace_agent,
+    "nothing fails": edit_without_fault,
+    "the answer to the write is lost": edit_with_lost_answer,
+    "the watch drops a change": edit_with_dropped_change,
+    "the platform's reads are stale": edit_with_stale_reads,
+    "the platform becomes unavailable after the write": edit_before_outage,
+    "a relay is killed and restarted": edit_and_restart_relay,
+    "a relay is suspended and resumes with old state": edit_with_suspended_relay,
+    "an agent is killed and restarted": edit_and_restart_agent,
 }
 
 
 @when("an account is edited during a platform outage")
-def edit_without_platform(context):
+def edit_during_outage(context):
     world = context.world
     world.values["before"] = read(world).json()
     etag = read(world).headers["ETag"]
@@ -129,7 +129,7 @@
 
 
 @when("an account is edited, the answer is lost and a platform outage begins")
-def edit_into_outage(context):
+def edit_with_lost_answer_before_outage(context):
     world = context.world
     etag = read(world).headers["ETag"]
     world.deployment.set_faults(lose_answers=1, outage_after_write=True)
@@ -192,13 +192,13 @@
 
 
 @then("no box reverted to an older version")
-def check_never_back(context):
+def check_never_reverted(context):
     context.world.values["stop"].set()
     assert not context.world.values["back"], context.world.values["back"]
 
 
 @when("two operators edit the same version of an account at both gateways {n:d} times")
-def race(context, n):
+def edit_concurrently(context, n):
     world = context.world
     world.values["rounds"] = []
     for number in range(n):
@@ -211,7 +211,7 @@
 
 
 @then("each time one edit is accepted and the other gets 412 with the differences")
-def check_race(context):
+def check_concurrent_edits(context):
     for answers in context.world.values["rounds"]:
         assert sorted(a.status_code for a in answers) == [200, 412], answers
         loser = next(a for a in answers if a.status_code == 412)
@@ -223,7 +223,7 @@
 
 
 @then("the account has exactly the last accepted edit")
-def check_last(context):
+def check_last_accepted_edit(context):
     world = context.world
     last = world.values["rounds"][-1]
     winner = next(a for a in last if a.status_code == 200)
@@ -247,7 +247,7 @@
 
 
 @then("only the new key works at both gateways")
-def check_keys(context):
+def check_only_new_key_works(context):
     world = context.world
     for gateway in GATEWAYS:
         url = f"{world.deployment.url(gateway)}/v1/keys/order-desk"
@@ -283,7 +283,7 @@
 
 
 @then("the new gateway serves requests")
-def check_serves(context):
+def check_serves_requests(context):
     world = context.world
     world.deployment.wait_ready("gateway-1")
     wait_until(
@@ -316,23 +316,23 @@
     world = context.world
     url = world.deployment.url("platform") + "/_counts"
 
-    def settled():
+    def has_few_watches():
         return world.deployment.client.get(url).json()["watches"] <= count
 
-    wait_until(settled, f"at most {count} watches")
+    wait_until(has_few_watches, f"at most {count} watches")
 
 
 @then("an edit comes into force on all {count:d} boxes")
-def check_all(context, count):
+def check_in_force_on_all_boxes(context, count):
     world = context.world
     answer = edit(world, 55)
     path = f"rollout/{answer.json()['version']}"
 
-    def complete():
+    def is_in_force_everywhere():
         rollout = world.deployment.admin("gateway-4", "GET", path).json()
         return rollout["in_force"] == count and not rollout["silent"]
 
-    wait_until(complete, "all boxes")
+    wait_until(is_in_force_everywhere, "all boxes")
 
 
 @when("a gateway that knows its peer restarts during a platform outage")
@@ -345,7 +345,7 @@
 
 
 @then("both gateways complete a generation during the outage")
-def check_answers(context):
+def check_generations(context):
     world = context.world
     for gateway in GATEWAYS:
         result = world.caller(gateway).generate("design-review", "stack_up_check", 9)
--- a/features/steps/own_return_history_steps.py
+++ b/features/steps/own_return_history_steps.py
@@ -28,12 +28,12 @@
 NAMES = [ObjectName(ObjectKind.TEMPLATE, name) for name in "abcd"]
 GATEWAYS = 3
 STEPS = 60
-OFFERED_SHARE = 0.7
-QUIET_SECONDS = 12.0
+DELIVERED_SHARE = 0.7
+RECOVERY_SECONDS = 12.0
 """Time after the last fault. Lost edits are written again within some 2 s."""
 
 
-class OwnGateway:
+class ConfigGateway:
     """The components of a gateway that keep, edit and restore the configuration."""
 
     def __init__(self, world, number):
@@ -59,7 +59,7 @@
         """Send a change to the other gateways that are reachable; some are lost."""
         for other in self.world.gateways:
             is_cut = self.store.is_cut or other.store.is_cut
-            is_lost = self.world.random.random() > OFFERED_SHARE
+            is_lost = self.world.random.random() > DELIVERED_SHARE
             if other is not self and not is_cut and not is_lost:
                 other.view.apply(change)
 
@@ -84,11 +84,11 @@
         self.random = Random(seed)
         self.store = RestorableStore(seed)
         self.numbers = count(1)
-        self.gateways = [OwnGateway(self, number) for number in range(GATEWAYS)]
+        self.gateways = [ConfigGateway(self, number) for number in range(GATEWAYS)]
         self.accepted: dict[ObjectName, StoredObject] = {}
         self.uncertain = defaultdict(list)
-        self.is_drilling = False
-        self.lost = 0
+        self.is_restoring = False
+        self.lossy_restores = 0
 
     async def run(self):
         async with trio.open_nursery() as nursery:
@@ -98,13 +98,13 @@
             await trio.sleep(2.0)
             for _ in range(STEPS):
                 await trio.sleep(self.random.expovariate(1 / 0.2))
-                if self.random.random() < 0.08 and not self.is_drilling:
-                    nursery.start_soon(self.drill)
+                if self.random.random() < 0.08 and not self.is_restoring:
+                    nursery.start_soon(self.restore_store)
                 else:
                     nursery.start_soon(self.edit, self.random.choice(self.gateways))
             for gateway in self.gateways:
                 gateway.store.is_cut = False
-            await trio.sleep(QUIET_SECONDS)
+            await trio.sleep(RECOVERY_SECONDS)
             self.check()
             nursery.cancel_scope.cancel()
 
@@ -116,51 +116,51 @@
         try:
             if version and self.random.random() < 0.2:
                 number = None
-                done = await gateway.editor.delete(name, version)
+                written = await gateway.editor.delete(name, version)
             else:
                 data = {"parameters": {"concurrent_requests": number}}
-                done = await gateway.editor.put(name, data, version)
+                written = await gateway.editor.put(name, data, version)
         except RequestRefusedError as error:
             if error.outcome is Outcome.UNKNOWN:
                 self.uncertain[name].append(number)
             return
         newest = self.accepted.get(name)
-        if newest is None or done.version > newest.version:
-            self.accepted[name] = done
+        if newest is None or written.version > newest.version:
+            self.accepted[name] = written
             self.uncertain[name].clear()
 
-    async def drill(self):
+    async def restore_store(self):
         """Restore the store from a recent copy, sometimes with a gateway cut off."""
-        self.is_drilling = True
+        self.is_restoring = True
         copy = self.store.copy()
-        cut = self.random.choice([*self.gateways, None, None])
+        partitioned = self.random.choice([*self.gateways, None, None])
         await trio.sleep(self.random.uniform(0.1, 2.0))
         self.store.is_out = True
         await trio.sleep(self.random.uniform(0.05, 0.5))
-        self.lost += self.store.number > copy.number
+        self.lossy_restores += self.store.number > copy.number
         self.store.restore_from(copy)
-        if cut is not None:
-            cut.store.is_cut = True
+        if partitioned is not None:
+            partitioned.store.is_cut = True
         self.store.is_out = False
-        if cut is not None:
+        if partitioned is not None:
             await trio.sleep(self.random.uniform(0.05, 1.0))
-            cut.store.is_cut = False
-        self.is_drilling = False
+            partitioned.store.is_cut = False
+        self.is_restoring = False
 
     def check(self):
-        held = {n: value_of(s) for n, s in self.store.objects.items()}
+        stored = {n: value_of(s) for n, s in self.store.objects.items()}
         for gateway in self.gateways:
             live = gateway.view.snapshot().objects
             in_force = {s.name: value_of(s) for s in live}
-            assert in_force == held, (in_force, held)
+            assert in_force == stored, (in_force, stored)
             assert not gateway.view.unconfirmed
-        for name, done in self.accepted.items():
-            number = None if done.value is None else value_of(done)
+        for name, written in self.accepted.items():
+            number = None if written.value is None else value_of(written)
             allowed = [number, *self.uncertain[name]]
-            assert held.get(name) in allowed, (name.name, held.get(name), done)
+            assert stored.get(name) in allowed, (name.name, stored.get(name), written)
 
 
-class AfterReturn(EditHistory):
+class AfterRestore(EditHistory):
     """Gateways that don't receive each other's edits, right after a restore."""
 
     def __init__(self, seed=1):
@@ -175,22 +175,22 @@
                 nursery.start_soon(gateway.restorer.run)
             await trio.sleep(2.0)
             await script(nursery)
-            await trio.sleep(QUIET_SECONDS)
+            await trio.sleep(RECOVERY_SECONDS)
             nursery.cancel_scope.cancel()
 
-    async def come_back(self, copy):
+    async def restore_while_cut_off(self, copy):
         """Restore the store while the other gateways are cut off for over a second."""
-        self.cut(True)
+        self.cut_off_others(True)
         self.store.restore_from(copy)
         await trio.sleep(1.0)
 
-    def cut(self, is_cut):
+    def cut_off_others(self, is_cut):
         for gateway in self.others:
             gateway.store.is_cut = is_cut
 
-    async def insist(self, edit, *arguments):
+    async def retry_until_accepted(self, edit, *arguments):
         """Edit, and retry while the edit is refused temporarily."""
-        with trio.fail_after(QUIET_SECONDS):
+        with trio.fail_after(RECOVERY_SECONDS):
             while True:
                 try:
                     await edit(*arguments)
@@ -203,18 +203,20 @@
 
 @then("an object deleted right after a restore isn't restored by another gateway")
 def check_deleted(context):
-    history = AfterReturn()
+    history = AfterRestore()
     name = NAMES[0]
 
     async def script(nursery):
         first = history.first
         await first.editor.put(name, {"parameters": {}}, 0)
         await trio.sleep(1.0)
-        await history.come_back(history.store.copy())
+        await history.restore_while_cut_off(history.store.copy())
         version = first.view.stored(name.kind, name.name).version
-        nursery.start_soon(history.insist, first.editor.delete, name, version)
+        nursery.start_soon(
+            history.retry_until_accepted, first.editor.delete, name, version
+        )
         await trio.sleep(0.5)
-        history.cut(False)
+        history.cut_off_others(False)
 
     trio.run(history.run, script, clock=MockClock(autojump_threshold=0))
     written = [change.value for _, change in history.store.events]
@@ -224,7 +226,7 @@
 
 @then("draining an endpoint right after a restore keeps its newest announcement")
 def check_drained(context):
-    history = AfterReturn()
+    history = AfterRestore()
     name = ObjectName(ObjectKind.ENDPOINT, "order-1")
 
     async def announce(incarnation, version):
@@ -238,7 +240,7 @@
         await announce("two", before.version)
         await trio.sleep(1.0)
         history.store.restore_from(copy)
-        await history.insist(history.first.editor.drain, name.name, True)
+        await history.retry_until_accepted(history.first.editor.drain, name.name, True)
 
     trio.run(history.run, script, clock=MockClock(autojump_threshold=0))
     for gateway in history.gateways:
@@ -247,8 +249,8 @@
 
 
 @then("of two writes with the same version the store's is in force everywhere")
-def check_one_number(context):
-    history = AfterReturn()
+def check_same_version(context):
+    history = AfterRestore()
     name = NAMES[0]
 
     async def script(nursery):
@@ -278,5 +280,5 @@
     for seed in range(histories):
         history = EditHistory(seed)
         trio.run(history.run, clock=MockClock(autojump_threshold=0))
-        lost += history.lost
+        lost += history.lossy_restores
     assert lost > histories, "too few edits were lost for the check to be meaningful"
--- a/features/steps/own_store_return_steps.py
+++ b/features/steps/own_store_return_steps.py
@@ -18,14 +18,14 @@
 from piershore.platform.http_platform_store import CONFIGURATION_KIND, SLOT_KIND
 
 POLL_SECONDS = 0.05
-KEYS = 12
-SENT_AGAIN_SECONDS = 4.0
+KEY_COUNT = 12
+RESEND_SECONDS = 4.0
 LIMIT = 77
 NEW_KEY = "another-key"
 OTHER_ACCOUNT = "accounts/surulere"
 
 
-def listed(world, gateway, collection="accounts"):
+def objects_in_force(world, gateway, collection="accounts"):
     """Return the objects in force at a gateway, by name."""
     items = world.deployment.admin(gateway, "GET", collection).json()["items"]
     return {item["name"]: item["spec"] for item in items}
@@ -78,7 +78,9 @@
 def wait_everywhere(world, is_right, name, what):
     for gateway in GATEWAYS:
         wait_until(
-            lambda gateway=gateway: is_right(listed(world, gateway).get(name)),
+            lambda gateway=gateway: is_right(
+                objects_in_force(world, gateway).get(name)
+            ),
             f"{what} at {gateway}",
         )
 
@@ -91,14 +93,14 @@
     def watch():
         while not stop.wait(POLL_SECONDS):
             for gateway in GATEWAYS:
-                spec = listed(world, gateway).get(name)
+                spec = objects_in_force(world, gateway).get(name)
                 if not is_right(spec):
                     world.values["wrong"].append((gateway, spec))
 
     Thread(target=watch, daemon=True).start()
 
 
-def edit_and_return(world, make_edit):
+def edit_and_restore_store(world, make_edit):
     world.values["name"] = "yaba"
     world.deployment.keep_copy()
     is_right = world.values["is_right"] = make_edit(world)
@@ -119,7 +121,7 @@
 
 def edit_step(make_edit):
     def run(context):
-        edit_and_return(context.world, make_edit)
+        edit_and_restore_store(context.world, make_edit)
 
     return run
 
@@ -205,12 +207,12 @@
 
 
 @when("order-1 is killed, and order-2 takes over its mint times and runs keys of them")
-def take_over(context):
+def replace_owner(context):
     world = context.world
     world.deployment.keep_copy()
     world.deployment.process("order-1").kill()
     wait_until(lambda: holds_all_slots(world, "order-2"), "the takeover")
-    world.values["keys"] = [world.caller().mint_key(SERVICE) for _ in range(KEYS)]
+    world.values["keys"] = [world.caller().mint_key(SERVICE) for _ in range(KEY_COUNT)]
     for key in world.values["keys"]:
         wait_until(
             lambda key=key: world.call_once("gateway-1", key, tag="one").is_whole,
@@ -221,11 +223,13 @@
 
 
 @when("the store is restored from an older copy and order-1 restarts")
-def return_with_successor(context):
+def restore_with_successor(context):
     world = context.world
     world.values["era"] = world.deployment.come_back()
     world.start_agent("order-1")
-    wait_until(lambda: owns_some(world, "order-1"), "the successor's mint times")
+    wait_until(
+        lambda: owns_changed_slot(world, "order-1"), "the successor's mint times"
+    )
 
 
 def slot_records(world):
@@ -235,7 +239,7 @@
     return [value_of(item) for item in items]
 
 
-def owns_some(world, endpoint):
+def owns_changed_slot(world, endpoint):
     """Return whether the restarted endpoint owns a slot in a changed record."""
     boxes = world.deployment.admin("gateway-1", "GET", "status").json()["boxes"]
     if not any(box["box"] == endpoint and box["state"] == "live" for box in boxes):
@@ -252,7 +256,7 @@
 @then("order-1 runs none of the keys again")
 def check_not_again(context):
     world = context.world
-    deadline = time.monotonic() + SENT_AGAIN_SECONDS
+    deadline = time.monotonic() + RESEND_SECONDS
     while time.monotonic() < deadline:
         for key in world.values["keys"]:
             for gateway in GATEWAYS:
@@ -270,11 +274,11 @@
     random = Random(1)
     keys = []
 
-    def runs():
+    def completes_with_minted_key():
         key = MintedKey.mint(int(time.time() * 1_000), random).text
         keys.append(key)
         return world.call_once("gateway-1", key, tag="own").is_whole
 
-    wait_until(runs, "a call with a caller's own key")
+    wait_until(completes_with_minted_key, "a call with a caller's own key")
     executions = world.executions()
     assert all(executions[key] <= 1 for key in keys), executions
--- a/src/piershore/gateway/account_directory.py
+++ b/src/piershore/gateway/account_directory.py
@@ -30,18 +30,20 @@
 
     def __init__(self, view: ConfigView) -> None:
         self._view = view
-        self._names: dict[str, str] = {}
-        self._hashes: dict[str, tuple[str, ...]] = {}
-        view.add_listener(self._follow)
+        self._names_by_hash: dict[str, str] = {}
+        self._hashes_by_name: dict[str, tuple[str, ...]] = {}
+        view.add_listener(self._apply_change)
 
     def authenticate(self, key: str) -> EffectiveAccount | None:
         """Return the account that `key` belongs to, or None if the key is unknown."""
         digest = key_hash(key)
-        name = self._names.get(digest)
+        name = self._names_by_hash.get(digest)
         if name is None:
             return None
-        stored = next(h for h in self._hashes[name] if compare_digest(h, digest))
-        return self.effective(name) if stored else None
+        matching = next(
+            h for h in self._hashes_by_name[name] if compare_digest(h, digest)
+        )
+        return self.effective(name) if matching else None
 
     def effective(self, name: str) -> EffectiveAccount | None:
         """Return the account merged with its template, or None if it doesn't exist."""
@@ -51,15 +53,15 @@
         template = self._view.get(ObjectKind.TEMPLATE, account.template)
         return EffectiveAccount.merge(name, account, template or AccountTemplate())
 
-    def _follow(self, change: StoredObject) -> None:
+    def _apply_change(self, change: StoredObject) -> None:
         if change.name.kind is not ObjectKind.ACCOUNT:
             return
         name = change.name.name
-        for digest in self._hashes.pop(name, ()):
-            self._names.pop(digest, None)
+        for digest in self._hashes_by_name.pop(name, ()):
+            self._names_by_hash.pop(digest, None)
         account = self._view.get(ObjectKind.ACCOUNT, name)
         if account is None:
             return
-        self._hashes[name] = account.key_hashes
+        self._hashes_by_name[name] = account.key_hashes
         for digest in account.key_hashes:
-            self._names[digest] = name
+            self._names_by_hash[digest] = name
--- a/src/piershore/gateway/box_directory.py
+++ b/src/piershore/gateway/box_directory.py
@@ -39,10 +39,10 @@
 
     def update(self, boxes: Iterable[Box]) -> None:
         """Replace the list; call the listeners if it differs."""
-        fresh = tuple(sorted(boxes, key=lambda box: box.name))
-        if fresh == self._boxes:
+        updated = tuple(sorted(boxes, key=lambda box: box.name))
+        if updated == self._boxes:
             return
-        self._boxes = fresh
+        self._boxes = updated
         for listener in self._listeners:
             listener()
 
--- a/src/piershore/gateway/config_distributor.py
+++ b/src/piershore/gateway/config_distributor.py
@@ -46,18 +46,18 @@
         self._links = links
         self._followers: dict[FrameQueue[ConfigBatch], BatchCursor] = {}
         self._leaving = False
-        directory.add_listener(self._boxes_changed)
+        directory.add_listener(self._announce_boxes)
 
     async def run(self) -> None:
         """Send changes until cancelled."""
-        rounds = 0
+        periods = 0
         while True:
             await trio.sleep(BATCH_PERIOD_SECONDS)
-            rounds += 1
+            periods += 1
             for link in self._links.all:
                 link.send_config_changes()
             for follower in list(self._followers):
-                self._send(follower, is_due=rounds % KEEPALIVE_PERIODS == 0)
+                self._send(follower, even_if_empty=periods % KEEPALIVE_PERIODS == 0)
 
     def mark_leaving(self) -> None:
         """Report this gateway as leaving from now on."""
@@ -74,7 +74,7 @@
             batches.close()
             return
         self._followers[batches] = BatchCursor(self._view, request.complete_to)
-        self._send(batches, is_due=True, with_boxes=True)
+        self._send(batches, even_if_empty=True, with_boxes=True)
 
     def follower_left(self, batches: FrameQueue[ConfigBatch]) -> None:
         """Stop sending to a follower that has disconnected."""
@@ -115,12 +115,12 @@
         self,
         follower: FrameQueue[ConfigBatch],
         *,
-        is_due: bool,
+        even_if_empty: bool,
         with_boxes: bool = False,
     ) -> None:
         batches = list(self._followers[follower].next_batches())
         if not batches:
-            if not is_due:
+            if not even_if_empty:
                 return
             batches.append(ConfigBatch(complete_to=self._view.complete_to))
         if with_boxes:
@@ -128,11 +128,11 @@
         for batch in batches:
             follower.put(batch)
 
-    def _boxes_changed(self) -> None:
+    def _announce_boxes(self) -> None:
         leaving = self._directory.leaving
         self._links.set_leaving_boxes(leaving)
         for link in self._links.all:
             if link.state.name in leaving:
                 link.send(GatewayFrame(drain=Drain()))
         for follower in list(self._followers):
-            self._send(follower, is_due=True, with_boxes=True)
+            self._send(follower, even_if_empty=True, with_boxes=True)
--- a/src/piershore/gateway/config_editor.py
+++ b/src/piershore/gateway/config_editor.py
@@ -72,22 +72,22 @@
     """Validates operators' edits and writes them to the platform's store.
 
     If a write returns, the edit is accepted: it is stored and in force in `view`, and
-    `accepted` was called with it. Otherwise `RequestRefusedError` is raised.
-    `seconds_to_settle` returns for how many more seconds deletions are refused since
-    the store was restored from an older copy.
+    `on_accepted` was called with it. Otherwise `RequestRefusedError` is raised.
+    `seconds_until_settled` returns for how many more seconds deletions are refused
+    after the store was restored from an older copy.
     """
 
     def __init__(
         self,
         store: PlatformStore,
         view: ConfigView,
-        accepted: Callable[[StoredObject], None],
-        seconds_to_settle: Callable[[], float],
+        on_accepted: Callable[[StoredObject], None],
+        seconds_until_settled: Callable[[], float],
     ) -> None:
         self._store = store
         self._view = view
-        self._accepted = accepted
-        self._seconds_to_settle = seconds_to_settle
+        self._on_accepted = on_accepted
+        self._seconds_until_settled = seconds_until_settled
 
     async def read(self, name: ObjectName) -> StoredObject:
         """Return the newer one of the platform's and this gateway's version.
@@ -127,7 +127,7 @@
 
     async def delete(self, name: ObjectName, version: int) -> StoredObject:
         """Delete an object that no account refers to."""
-        users = list(self._users(name))
+        users = list(self._referring_accounts(name))
         if users:
             raise RequestRefusedError(
                 RefusalReason.INVALID_FIELD,
@@ -143,7 +143,7 @@
         for _ in range(DRAIN_ATTEMPTS):
             status = replace(decode(EndpointStatus, current.value), drain=drain)
             try:
-                return await self._settle(name, encode(status), current.version)
+                return await self._write_settled(name, encode(status), current.version)
             except StaleVersionError as error:
                 if error.current is None or error.current.value is None:
                     break
@@ -175,7 +175,7 @@
             if self._view.get(ObjectKind.SERVICE, service) is None:
                 yield f"there is no service {service!r} @ $.services[{index}]"
 
-    def _users(self, name: ObjectName) -> Iterator[str]:
+    def _referring_accounts(self, name: ObjectName) -> Iterator[str]:
         for account, spec in self._view.all(ObjectKind.ACCOUNT):
             uses_template = (
                 name.kind is ObjectKind.TEMPLATE and spec.template == name.name
@@ -190,20 +190,20 @@
         self, name: ObjectName, value: bytes | None, version: int
     ) -> StoredObject:
         try:
-            return await self._settle(name, value, version)
+            return await self._write_settled(name, value, version)
         except StaleVersionError as error:
             self._raise_conflict(name, error.current, value)
             raise AssertionError("unreachable") from error
 
-    async def _settle(
+    async def _write_settled(
         self, name: ObjectName, value: bytes | None, version: int
     ) -> StoredObject:
         try:
             if value is None:
-                await self._check_settled(name)
+                await self._check_deletion_allowed(name)
             written = await settled_put(self._store, name, value, version, uuid4().hex)
         except StaleVersionError as error:
-            self._check_lost(name, error)
+            self._check_not_lost(name, error)
             raise
         except PlatformUnavailableError as error:
             raise RequestRefusedError(
@@ -219,10 +219,10 @@
                 retry_after=RETRY_AFTER_SECONDS,
             ) from error
         self._view.apply(written)
-        self._accepted(written)
+        self._on_accepted(written)
         return written
 
-    async def _check_settled(self, name: ObjectName) -> None:
+    async def _check_deletion_allowed(self, name: ObjectName) -> None:
         """Refuse a deletion just after the store was restored from an older copy.
 
         A gateway that hasn't read the store since then would consider the deleted
@@ -230,11 +230,11 @@
         """
         await self._store.get(name)  # Updates the store's era from the answer.
         if era_of(self._view.complete_to) < self._store.era:
-            raise _being_restored()
-        if seconds := self._seconds_to_settle():
-            raise _being_restored(seconds)
+            raise _restore_in_progress()
+        if seconds := self._seconds_until_settled():
+            raise _restore_in_progress(seconds)
 
-    def _check_lost(self, name: ObjectName, error: StaleVersionError) -> None:
+    def _check_not_lost(self, name: ObjectName, error: StaleVersionError) -> None:
         """Refuse an edit that conflicts only because the store lost the version.
 
         A conflict would make the operator edit the older version that the store has
@@ -245,7 +245,7 @@
         if known is None or version >= known.version:
             return
         if era_of(known.version) < self._store.era:
-            raise _being_restored() from error
+            raise _restore_in_progress() from error
 
     @staticmethod
     def _raise_conflict(
@@ -262,7 +262,7 @@
         )
 
 
-def _being_restored(seconds: float = RESTORE_RETRY_SECONDS) -> RequestRefusedError:
+def _restore_in_progress(seconds: float = RESTORE_RETRY_SECONDS) -> RequestRefusedError:
     return RequestRefusedError(
         RefusalReason.PLATFORM_UNAVAILABLE,
         "the platform came back from an older copy; what it lost is written again",
--- a/src/piershore/gateway/config_source.py
+++ b/src/piershore/gateway/config_source.py
@@ -56,7 +56,7 @@
     async def run(self) -> None:
         """Update the view and the directory until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._box_loop)
+            nursery.start_soon(self._refresh_boxes)
             while True:
                 await self._follow_once()
                 pause = BASE_BACKOFF_SECONDS * 2 ** min(self._failures, 4)
@@ -80,14 +80,21 @@
 
     def _should_relay(self) -> bool:
         gateways = self._directory.gateways()
-        in_hall = [n for n, b in gateways.items() if b.data_hall == self._data_hall]
-        return self._gateway in relays_of(self._data_hall, in_hall) or not in_hall
+        in_data_hall = [
+            n for n, b in gateways.items() if b.data_hall == self._data_hall
+        ]
+        return (
+            self._gateway in relays_of(self._data_hall, in_data_hall)
+            or not in_data_hall
+        )
 
     def _peer_addresses(self) -> list[str]:
         gateways = self._directory.gateways()
         gateways.pop(self._gateway, None)
-        in_hall = [n for n, b in gateways.items() if b.data_hall == self._data_hall]
-        relays = relays_of(self._data_hall, in_hall)
+        in_data_hall = [
+            n for n, b in gateways.items() if b.data_hall == self._data_hall
+        ]
+        relays = relays_of(self._data_hall, in_data_hall)
         others = rendezvous_order(self._gateway, set(gateways) - set(relays))
         known = [gateways[name].peer_address for name in (*relays, *others[:2])]
         return known or list(self._seeds)
@@ -98,44 +105,44 @@
         Also stop if this gateway becomes a relay, once the peer has sent a batch.
         """
         closed = trio.Event()
-        heard: list[float] = []
+        last_received: list[float] = []
         receiver = BatchReceiver(self._view)
 
-        def take(batch: ConfigBatch) -> None:
-            heard[:] = [trio.current_time()]
+        def receive(batch: ConfigBatch) -> None:
+            last_received[:] = [trio.current_time()]
             receiver.apply(batch)
-            self._note_revision()
+            self._update_revision_gauge()
             if batch.boxes:
                 self._directory.update_from(batch.boxes)
 
         request = FollowRequest(
             gateway=self._gateway, complete_to=self._view.complete_to
         )
-        reader = follow_peer(address, request, take, closed.set)
+        reader = follow_peer(address, request, receive, closed.set)
         reader.start()
         started = trio.current_time()
         try:
             while not closed.is_set():
-                last = heard[0] if heard else started
-                silence = trio.current_time() - last
-                may_relay = bool(heard) and self._should_relay()
-                if silence > RELAY_TIMEOUT_SECONDS or may_relay:
+                last_at = last_received[0] if last_received else started
+                silence = trio.current_time() - last_at
+                is_now_relay = bool(last_received) and self._should_relay()
+                if silence > RELAY_TIMEOUT_SECONDS or is_now_relay:
                     break
                 with trio.move_on_after(RELAY_TIMEOUT_SECONDS / 4):
                     await closed.wait()
         finally:
             reader.close()
-        return bool(heard)
+        return bool(last_received)
 
     async def _follow_platform(self) -> None:
         try:
             if self._view.apply_snapshot(await self._store.list()):
-                self._note_revision()
+                self._update_revision_gauge()
             self._relaying = True
             with trio.move_on_after(RESYNC_SECONDS):
                 async for item in self._store.watch(self._view.complete_to):
                     self._failures = 0
-                    self._take(item)
+                    self._apply(item)
                     if not self._should_relay():
                         break
         except WatchGapError as error:
@@ -148,19 +155,19 @@
         finally:
             self._relaying = False
 
-    def _take(self, item: StoredObject | int) -> None:
+    def _apply(self, item: StoredObject | int) -> None:
         if isinstance(item, StoredObject):
             if self._view.apply(item):
                 metrics.CONFIG_CHANGES.inc()
             self._view.mark_complete(item.version)
         else:
             self._view.mark_complete(item)
-        self._note_revision()
+        self._update_revision_gauge()
 
-    def _note_revision(self) -> None:
+    def _update_revision_gauge(self) -> None:
         metrics.CONFIG_REVISION.set(self._view.complete_to)
 
-    async def _box_loop(self) -> None:
+    async def _refresh_boxes(self) -> None:
         # Only relays read the list from the platform and send it to their followers;
         # another gateway reads it while it has none.
         while True:
--- a/src/piershore/gateway/daemon.py
+++ b/src/piershore/gateway/daemon.py
@@ -69,28 +69,28 @@
         self._store = HttpPlatformStore(settings.platform_url)
         self._accounts = AccountDirectory(self._view)
         self._limiter = AccountLimiter()
-        hall = settings.data_hall
+        data_hall = settings.data_hall
         self._links = AgentLinks(
-            name, hall, settings.endpoint_choice, settings.aperture, self._view
+            name, data_hall, settings.endpoint_choice, settings.aperture, self._view
         )
         self._source = ConfigSource(
             name,
-            hall,
+            data_hall,
             self._store,
             self._view,
             self._directory,
             settings.box_list_period,
             settings.peers,
         )
-        self._spread = ConfigDistributor(
-            name, hall, self._view, self._directory, self._links
+        self._distributor = ConfigDistributor(
+            name, data_hall, self._view, self._directory, self._links
         )
         self._offers = EditOffers(name, self._directory)
         self._restorer = EditRestorer(
             name, self._store, self._view, recent, self._offers.offer
         )
-        self._peers = PeerServer(settings.peer_listen, self._spread)
-        self._directory.add_listener(self._share_limits)
+        self._peers = PeerServer(settings.peer_listen, self._distributor)
+        self._directory.add_listener(self._update_limiter_share)
         self._stopping = trio.Event()
         self._leaving = False
         self._reader = RequestReader(settings.caps, self._accounts)
@@ -117,7 +117,7 @@
         self._peers.start()
         nursery.start_soon(self._source.run)
         nursery.start_soon(self._links.run)
-        nursery.start_soon(self._spread.run)
+        nursery.start_soon(self._distributor.run)
         nursery.start_soon(self._offers.run)
         nursery.start_soon(self._restorer.run)
         log_state_change("gateway_started", gateway=self._name)
@@ -140,7 +140,7 @@
         # The load balancer has to observe that this gateway isn't ready before the
         # gateway stops accepting connections.
         self._leaving = True
-        self._spread.mark_leaving()
+        self._distributor.mark_leaving()
         log_state_change("gateway_leaving", gateway=self._name)
         await trio.sleep(self._settings.leave_notice)
         self._stopping.set()
@@ -180,7 +180,7 @@
             self._view,
             reader,
             self._build_editor(),
-            FleetReports(self._name, self._spread, self._directory),
+            FleetReports(self._name, self._distributor, self._directory),
         )
         app.register_blueprint(callers.blueprint())
         app.register_blueprint(admin.blueprint())
@@ -192,9 +192,9 @@
             reader.check_headers()
 
         app.before_request(check_headers)
-        app.register_error_handler(RequestRefusedError, self._refused)
-        app.register_error_handler(HTTPException, self._http_error)
-        app.register_error_handler(Exception, self._failed)
+        app.register_error_handler(RequestRefusedError, self._handle_refusal)
+        app.register_error_handler(HTTPException, self._handle_http_error)
+        app.register_error_handler(Exception, self._handle_exception)
         return app
 
     async def _health(self) -> Response:
@@ -209,23 +209,23 @@
         body = generate_latest(metrics.REGISTRY)
         return Response(body, content_type=CONTENT_TYPE_LATEST)
 
-    async def _refused(self, error: RequestRefusedError) -> Response:
+    async def _handle_refusal(self, error: RequestRefusedError) -> Response:
         count_refusal(error)
         response = problem_response(error)
         if not await self._reader.discard():
             response.headers["Connection"] = "close"
         return response
 
-    async def _http_error(self, error: HTTPException) -> Response:
+    async def _handle_http_error(self, error: HTTPException) -> Response:
         reason = HTTP_REASONS.get(error.code, RefusalReason.MALFORMED_BODY)
         message = error.description or error.name
-        return await self._refused(RequestRefusedError(reason, message))
+        return await self._handle_refusal(RequestRefusedError(reason, message))
 
-    async def _failed(self, error: Exception) -> Response:
+    async def _handle_exception(self, error: Exception) -> Response:
         log_state_change("request_failed", error=repr(error))
         message = "the gateway failed on this request"
         outcome = Outcome.UNKNOWN
-        return await self._refused(
+        return await self._handle_refusal(
             RequestRefusedError(RefusalReason.INTERNAL_ERROR, message, outcome)
         )
 
@@ -234,15 +234,15 @@
         return ConfigEditor(
             self._store,
             self._view,
-            self._accepted,
+            self._on_accepted,
             lambda: restorer.seconds_until_settled,
         )
 
-    def _accepted(self, change: StoredObject) -> None:
+    def _on_accepted(self, change: StoredObject) -> None:
         self._restorer.record_accepted(change)
         self._offers.offer(change)
 
-    def _share_limits(self) -> None:
+    def _update_limiter_share(self) -> None:
         self._limiter.set_share(1 / self._count_gateways())
 
     def _count_gateways(self) -> int:
--- a/src/piershore/gateway/edit_offers.py
+++ b/src/piershore/gateway/edit_offers.py
@@ -49,11 +49,11 @@
 
     def _relay_addresses(self) -> Iterator[str]:
         gateways = self._directory.gateways()
-        halls: dict[str, list[str]] = defaultdict(list)
+        names_by_data_hall: dict[str, list[str]] = defaultdict(list)
         for name, box in gateways.items():
-            halls[box.data_hall].append(name)
-        for hall, names in halls.items():
-            for name in relays_of(hall, names):
+            names_by_data_hall[box.data_hall].append(name)
+        for data_hall, names in names_by_data_hall.items():
+            for name in relays_of(data_hall, names):
                 if name != self._gateway:
                     yield gateways[name].peer_address
 
@@ -62,10 +62,10 @@
     ) -> None:
         batch = batch_of(change)
         for attempt in range(MAX_ATTEMPTS):
-            taken = await trio.to_thread.run_sync(
+            is_accepted = await trio.to_thread.run_sync(
                 offer_batch, address, batch, limiter=limiter
             )
-            metrics.EDIT_OFFERS.labels(taken=taken).inc()
-            if taken:
+            metrics.EDIT_OFFERS.labels(taken=is_accepted).inc()
+            if is_accepted:
                 return
             await trio.sleep(BASE_BACKOFF_SECONDS * 2**attempt)
--- a/src/piershore/gateway/edit_restorer.py
+++ b/src/piershore/gateway/edit_restorer.py
@@ -35,7 +35,7 @@
 
     An accepted edit stays in force at the gateways that know it. If it weren't written
     again, a gateway that starts or a later edit of the same object would revert it.
-    `written` is called with each object that was written again.
+    `on_written` is called with each object that was written again.
     """
 
     def __init__(
@@ -44,24 +44,24 @@
         store: PlatformStore,
         view: ConfigView,
         recent: RecentChanges,
-        written: Callable[[StoredObject], None],
+        on_written: Callable[[StoredObject], None],
     ) -> None:
         self._gateway = gateway
         self._store = store
         self._view = view
         self._recent = recent
-        self._written = written
+        self._on_written = on_written
         self._accepted: set[ObjectName] = set()
         self._due_at: dict[ObjectName, float] = {}
-        self._reached = StoreRevision(0)
-        self._risen_at = float("-inf")
+        self._last_revision = StoreRevision(0)
+        self._era_began_at = float("-inf")
         self._random = Random()
-        view.add_listener(self._note)
+        view.add_listener(self._record_change)
 
     @property
     def seconds_until_settled(self) -> float:
         """Seconds until objects may be deleted again after the store was restored."""
-        return max(0.0, self._risen_at + SETTLE_SECONDS - trio.current_time())
+        return max(0.0, self._era_began_at + SETTLE_SECONDS - trio.current_time())
 
     def record_accepted(self, change: StoredObject) -> None:
         """Record that this gateway has reported an edit as accepted to an operator."""
@@ -74,21 +74,21 @@
             now = trio.current_time()
             self._recent.drop_expired(now)
             self._accepted.intersection_update(self._recent.names)
-            self._tell_return()
-            for name in list(self._due(now)):
+            self._detect_restore()
+            for name in list(self._names_due(now)):
                 await self._restore(name)
 
-    def _note(self, change: StoredObject) -> None:
+    def _record_change(self, change: StoredObject) -> None:
         if self._view.complete_to:
             era = era_of(change.version)
             self._recent.record(change.name, era, trio.current_time())
 
-    def _tell_return(self) -> None:
-        before, now = self._reached, StoreRevision(self._view.complete_to)
-        self._reached = now
+    def _detect_restore(self) -> None:
+        before, now = self._last_revision, StoreRevision(self._view.complete_to)
+        self._last_revision = now
         metrics.STORE_ERA.set(now.era)
         if before.era < now.era:
-            self._risen_at = trio.current_time()
+            self._era_began_at = trio.current_time()
         if before and before.era < now.era:
             log_state_change(
                 "store_returned",
@@ -100,18 +100,18 @@
                 unconfirmed=len(self._view.unconfirmed),
             )
 
-    def _due(self, now: float) -> Iterator[ObjectName]:
+    def _names_due(self, now: float) -> Iterator[ObjectName]:
         """Yield the names of the objects to compare with the store now."""
-        era = self._reached.era
+        era = self._last_revision.era
         own = {n for n in self._accepted if self._recent.may_be_lost(n, era)}
-        wanted = own | self._view.unconfirmed
-        for name in self._due_at.keys() - wanted:
+        pending = own | self._view.unconfirmed
+        for name in self._due_at.keys() - pending:
             del self._due_at[name]
-        for name in wanted:
-            pause = (
+        for name in pending:
+            delay = (
                 0.0 if name in own else self._random.uniform(*PEER_EDIT_DELAY_SECONDS)
             )
-            if self._due_at.setdefault(name, now + pause) <= now:
+            if self._due_at.setdefault(name, now + delay) <= now:
                 yield name
 
     async def _restore(self, name: ObjectName) -> None:
@@ -119,19 +119,19 @@
             await self._compare(name)
         except PiershoreError as error:
             metrics.PLATFORM_ERRORS.labels(code=error.code).inc()
-            pause = self._random.uniform(*RETRY_DELAY_SECONDS)
-            self._due_at[name] = trio.current_time() + pause
+            delay = self._random.uniform(*RETRY_DELAY_SECONDS)
+            self._due_at[name] = trio.current_time() + delay
 
     async def _compare(self, name: ObjectName) -> None:
         current = await self._store.get(name)
-        held = self._view.stored(name.kind, name.name)
-        if current is None and held.value is None:
+        known = self._view.stored(name.kind, name.name)
+        if current is None and known.value is None:
             pass
-        elif current is None or current.version < held.version:
-            await self._write_again(held, current)
-        elif current.version > held.version:
+        elif current is None or current.version < known.version:
+            await self._write_again(known, current)
+        elif current.version > known.version:
             self._view.apply(current)
-        elif current.value != held.value:
+        elif current.value != known.value:
             await self._write_as_new(current)
         self._confirm(name)
 
@@ -143,7 +143,7 @@
             await self._store.put(lost.name, None, version, uuid4().hex)
         else:
             await self._store.restore(lost, version, uuid4().hex)
-        self._written(lost)
+        self._on_written(lost)
         metrics.EDITS_RESTORED.inc()
         log_state_change(
             "edit_restored",
@@ -162,9 +162,9 @@
             self._store, current.name, current.value, current.version, uuid4().hex
         )
         self._view.apply(written)
-        self._written(written)
+        self._on_written(written)
 
     def _confirm(self, name: ObjectName) -> None:
         self._view.confirm(name)
-        self._recent.mark_confirmed(name, self._reached.era)
+        self._recent.mark_confirmed(name, self._last_revision.era)
         self._due_at.pop(name, None)
--- a/src/piershore/gateway/fleet_reports.py
+++ b/src/piershore/gateway/fleet_reports.py
@@ -49,10 +49,10 @@
     """Gathers reports from all gateways; each reports for itself and its agents."""
 
     def __init__(
-        self, gateway: str, spread: ConfigDistributor, directory: BoxDirectory
+        self, gateway: str, distributor: ConfigDistributor, directory: BoxDirectory
     ) -> None:
         self._gateway = gateway
-        self._spread = spread
+        self._distributor = distributor
         self._directory = directory
 
     async def statuses(self) -> list[BoxStatus]:
@@ -75,10 +75,10 @@
         return Rollout(version, len(statuses), in_force, lagging, silent)
 
     async def _gather(self) -> dict[str, BoxReport]:
-        replies = [self._spread.report()]
+        replies = [self._distributor.report()]
         limiter = trio.CapacityLimiter(MAX_PARALLEL_CALLS)
 
-        async def ask(address: str) -> None:
+        async def fetch(address: str) -> None:
             reply = await trio.to_thread.run_sync(
                 fetch_report, address, limiter=limiter
             )
@@ -88,7 +88,7 @@
         async with trio.open_nursery() as nursery:
             for name, box in self._directory.gateways().items():
                 if name != self._gateway:
-                    nursery.start_soon(ask, box.peer_address)
+                    nursery.start_soon(fetch, box.peer_address)
         return _newest(replies)
 
 
