--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -172,13 +172,13 @@
     Mutant(
         "a leaving agent goes on taking work",
         "agent/daemon.py",
-        "        if self._work is not None:\n            self._work.leave()\n",
+        "        if self._worker is not None:\n            self._worker.leave()\n",
         "",
         "leaving",
         (
             "agent/daemon.py",
-            "leaving=self._leaving.is_set() or self._work is None,",
-            "leaving=self._work is None,",
+            "leaving=self._leaving.is_set() or self._worker is None,",
+            "leaving=self._worker is None,",
         ),
     ),
     Mutant(
@@ -477,7 +477,7 @@
     Mutant(
         "an agent keeps no rate",
         "agent/refusals.py",
-        "self._rate.record_answer(rate, trio.current_time())",
+        "self._rate_limiter.record_answer(rate, trio.current_time())",
         "pass",
         "agent_rate_limits",
     ),
--- a/features/steps/agent_backoff_steps.py
+++ b/features/steps/agent_backoff_steps.py
@@ -33,10 +33,10 @@
 from standins.serving import serve_app
 
 LINK = 1
-REST_SECONDS = 1.0
+BACKOFF_SECONDS = 1.0
 SHED_SECONDS = 0.8
-SENT_DURING_REST = 4
-LONGEST_SECONDS = 30.0
+SENT_DURING_BACKOFF = 4
+TIMEOUT_SECONDS = 30.0
 SERVICE = "model"
 
 
@@ -89,7 +89,7 @@
 
 def run_script(context, agent, script):
     async def run():
-        with trio.fail_after(LONGEST_SECONDS):
+        with trio.fail_after(TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 await nursery.start(agent.serve)
                 await script(agent, nursery)
@@ -134,18 +134,20 @@
     return send
 
 
-async def send_around_rest(context, agent, send, served):
+async def send_around_backoff(context, agent, send, served):
     """Send one request that gets the backoff, more during it, and one after it."""
-    agent.standin.shedding.shed(SHED_SECONDS, REST_SECONDS)
+    agent.standin.shedding.shed(SHED_SECONDS, BACKOFF_SECONDS)
     send(1)
     await agent.wait_for(1, "refused", "ended", "answered")
-    context.told_at = trio.current_time()
-    for number in range(2, 2 + SENT_DURING_REST):
+    context.refused_at = trio.current_time()
+    for number in range(2, 2 + SENT_DURING_BACKOFF):
         send(number)
         await agent.wait_for(number, "refused", "ended", "answered")
-    context.rest_ended_in = REST_SECONDS - (trio.current_time() - context.told_at)
+    context.backoff_seconds_left = BACKOFF_SECONDS - (
+        trio.current_time() - context.refused_at
+    )
     context.requests = agent.standin.requests
-    await trio.sleep(REST_SECONDS)
+    await trio.sleep(BACKOFF_SECONDS)
     send(99)
     await agent.wait_for(99, *served, "refused")
     context.last = agent.frames_of(99)[0]
@@ -153,31 +155,31 @@
 
 
 @when("an engine asks its agent for 1 s of rest under a generation, and more are sent")
-def rest_engine(context):
+def back_off_engine(context):
     async def script(agent, nursery):
         send = engine_sender(agent, nursery)
-        await send_around_rest(context, agent, send, ("ended",))
+        await send_around_backoff(context, agent, send, ("ended",))
 
     run_script(context, AgentHarness(EngineStandin(EngineSettings(), 1.0)), script)
 
 
 @when("a plain service asks its agent for 1 s of rest under a call, and more are sent")
-def rest_service(context):
+def back_off_service(context):
     async def script(agent, nursery):
         send = service_sender(agent, nursery)
-        await send_around_rest(context, agent, send, ("answered",))
+        await send_around_backoff(context, agent, send, ("answered",))
 
     run_script(context, AgentHarness(ServiceStandin()), script)
 
 
 @then("they are refused as unrun with {code} and what is left of the rest")
 def check_refused(context, code):
-    for number in range(2, 2 + SENT_DURING_REST):
+    for number in range(2, 2 + SENT_DURING_BACKOFF):
         kinds, refused = context.agent.frames_of(number)
         assert kinds == ["refused"], (number, kinds)
         assert refused.reason == code, refused
         assert refused.outcome == Outcome.NOT_RUN, refused
-        assert 0 < refused.retry_after_seconds <= REST_SECONDS, refused
+        assert 0 < refused.retry_after_seconds <= BACKOFF_SECONDS, refused
     kinds, first = context.agent.frames_of(1)
     if kinds[-1] == "refused":
         assert first.reason == code
@@ -200,8 +202,8 @@
         self.state = EndpointState(name, SERVICE, "hall", is_open=True)
 
 
-@when("an agent refuses a request with {reason} and {rest:g} s")
-def refuse_for(context, reason, rest):
+@when("an agent refuses a request with {reason} and {seconds:g} s")
+def refuse_for(context, reason, seconds):
     async def run():
         links = AgentLinks("g", "hall", "least_work_of_two", 8, ConfigView())
         links._is_staying = lambda state: True
@@ -211,25 +213,25 @@
             request=1,
             reason=RefusalReason(reason),
             outcome=Outcome.NOT_RUN,
-            retry_after_seconds=rest,
+            retry_after_seconds=seconds,
         )
         read_refusal(links._links["a"], refused)
         choose = partial(links.choose, SERVICE, "", ())
-        context.during = {choose().state.name for _ in range(20)}
-        context.left = [links.seconds_until_any_available(SERVICE)]
+        context.chosen_during = {choose().state.name for _ in range(20)}
+        context.seconds_left = [links.seconds_until_any_available(SERVICE)]
         read_refusal(links._links["b"], refused)
-        context.nobody = choose()
-        context.left.append(links.seconds_until_any_available(SERVICE))
-        await trio.sleep(rest)
-        context.after = {choose().state.name for _ in range(20)}
+        context.chosen_when_none_left = choose()
+        context.seconds_left.append(links.seconds_until_any_available(SERVICE))
+        await trio.sleep(seconds)
+        context.chosen_after = {choose().state.name for _ in range(20)}
 
     trio.run(run)
 
 
 @then("its gateway chooses others, and it again after that time")
 def check_chosen(context):
-    assert context.during == {"b"}
-    assert context.nobody is None
-    assert context.left[0] is None
-    assert 0 < context.left[1] <= REST_SECONDS
-    assert context.after == {"a", "b"}
+    assert context.chosen_during == {"b"}
+    assert context.chosen_when_none_left is None
+    assert context.seconds_left[0] is None
+    assert 0 < context.seconds_left[1] <= BACKOFF_SECONDS
+    assert context.chosen_after == {"a", "b"}
--- a/features/steps/agent_rate_limit_steps.py
+++ b/features/steps/agent_rate_limit_steps.py
@@ -20,8 +20,8 @@
 
 RATE = 2.0
 GAP_SECONDS = 0.1
-COUNT = 40
-LATER = 5
+REQUEST_COUNT = 40
+LATER_REQUEST_COUNT = 5
 
 
 ENDPOINTS = {
@@ -33,7 +33,7 @@
 @when(
     "{endpoint} advertises 2 requests a second to its agent, and 40 arrive within 4 s"
 )
-def name_to_agent(context, endpoint):
+def advertise_to_agent(context, endpoint):
     standin, sender = ENDPOINTS[endpoint]
 
     async def script(agent, nursery):
@@ -41,38 +41,42 @@
         agent.standin.naming.rate = RATE
         send(1)
         await agent.wait_for(1, "answered", "ended")
-        for number in range(2, 2 + COUNT):
+        for number in range(2, 2 + REQUEST_COUNT):
             send(number)
             await trio.sleep(GAP_SECONDS)
-        for number in range(2, 2 + COUNT):
+        for number in range(2, 2 + REQUEST_COUNT):
             await agent.wait_for(number, "answered", "ended", "refused")
-        context.times = list(agent.standin.naming.times)
+        context.received_at = list(agent.standin.naming.times)
         agent.standin.naming.rate = None
         await trio.sleep(MAX_REORDERING_SECONDS + 1 / RATE)
         send(100)
         await agent.wait_for(100, "answered", "ended", "refused")
-        later = range(101, 101 + LATER)
+        later = range(101, 101 + LATER_REQUEST_COUNT)
         for number in later:
             send(number)
         for number in later:
             await agent.wait_for(number, "answered", "ended", "refused")
-        context.later = [agent.frames_of(number)[0][-1] for number in (100, *later)]
+        context.later_results = [
+            agent.frames_of(number)[0][-1] for number in (100, *later)
+        ]
 
     run_script(context, AgentHarness(standin()), script)
 
 
 @then("its agent uses the rate limit and never exceeds it")
 def check_sent(context):
-    most = most_in_window(context.times, 0.0)
-    assert most <= allowed_requests(RATE), most
-    assert len(context.times) >= RATE * WINDOW_SECONDS * 0.8, len(context.times)
+    highest_count = most_in_window(context.received_at, 0.0)
+    assert highest_count <= allowed_requests(RATE), highest_count
+    assert len(context.received_at) >= RATE * WINDOW_SECONDS * 0.8, len(
+        context.received_at
+    )
 
 
 @then("the others are refused as not run with {code} and a time to retry")
 def check_refused(context, code):
-    ends = [context.agent.frames_of(number) for number in range(2, 2 + COUNT)]
+    ends = [context.agent.frames_of(number) for number in range(2, 2 + REQUEST_COUNT)]
     refused = [message for kinds, message in ends if kinds[-1] == "refused"]
-    assert len(refused) >= COUNT / 2, len(refused)
+    assert len(refused) >= REQUEST_COUNT / 2, len(refused)
     for message in refused:
         assert message.reason == code, message
         assert message.outcome == Outcome.NOT_RUN, message
@@ -81,7 +85,7 @@
 
 @then("once it advertises no rate limit, no request is refused")
 def check_later(context):
-    assert "refused" not in context.later, context.later
+    assert "refused" not in context.later_results, context.later_results
 
 
 @then(
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -16,9 +16,9 @@
 
 CALLS = 20
 LONG_CALL_SECONDS = 10
-STOPS = 5
+STOP_SIGNALS = 5
 STOP_GAP_SECONDS = 0.2
-SHORTEST_GAP_SECONDS = 0.002
+SIGNAL_GAP_SECONDS = 0.002
 
 
 @given("nothing else happens")
@@ -59,29 +59,31 @@
 
 @then("the long calls complete")
 def check_long(context):
-    assert context.world.values["gone while working"]
+    assert context.world.values["calls run after leaving"]
     results = [future.result(60) for future in context.world.values["long"]]
     assert all(result.is_whole for result in results), results
 
 
-def wait_gone(world, name):
+def wait_until_unused(world, name):
     """Wait until no gateway sends the endpoint requests, and record if calls still run."""
     for gateway in GATEWAYS:
 
-        def is_gone(gateway=gateway):
+        def is_unused(gateway=gateway):
             boxes = world.deployment.admin(gateway, "GET", "status").json()["boxes"]
             states = [box["state"] for box in boxes if box["box"] == name]
             return not states or states[0] != "live"
 
-        wait_until(is_gone, f"{gateway} to stop using {name}")
+        wait_until(is_unused, f"{gateway} to stop using {name}")
     long_calls = world.values.get("long", ())
-    world.values["gone while working"] = any(not call.done() for call in long_calls)
+    world.values["calls run after leaving"] = any(
+        not call.done() for call in long_calls
+    )
 
 
 @when("order-1 leaves by SIGTERM")
 def leave_by_signal(context):
     context.world.deployment.process("order-1").terminate()
-    wait_gone(context.world, "order-1")
+    wait_until_unused(context.world, "order-1")
 
 
 @when("order-1 leaves by an operator's drain")
@@ -89,7 +91,7 @@
     world = context.world
     answer = world.deployment.admin("gateway-2", "POST", "endpoints/order-1/drain")
     answer.raise_for_status()
-    wait_gone(world, "order-1")
+    wait_until_unused(world, "order-1")
 
 
 @when("order-1 leaves by its entry in the platform's list")
@@ -97,11 +99,11 @@
     world = context.world
     address = world.deployment.address("order-1")
     world.deployment.enter_box("order-1", "agent", "ikeja", address, "leaving")
-    wait_gone(world, "order-1")
+    wait_until_unused(world, "order-1")
 
 
 @when("order-1 is restarted")
-def start_again(context):
+def restart(context):
     world = context.world
     process = world.deployment.process("order-1")
     assert process.wait() == 0
@@ -175,10 +177,10 @@
             )
         )
     wait_until(lambda: sum(world.tags().values()) >= count, "the calls to run")
-    wait_until(lambda: running(world) >= 2, "generations to run")
+    wait_until(lambda: running_generations(world) >= 2, "generations to run")
 
 
-def running(world):
+def running_generations(world):
     total = 0
     for number in (1, 2):
         url = f"{world.deployment.url(f'engine-{number}')}/_generations"
@@ -187,10 +189,10 @@
 
 
 @when("{name} gets SIGTERM repeatedly under load")
-def stop_again(context, name):
+def stop_repeatedly(context, name):
     stop_under_load(context, name)
     process = context.world.values["stopped"]
-    for _ in range(STOPS):
+    for _ in range(STOP_SIGNALS):
         time.sleep(STOP_GAP_SECONDS)
         if process.is_running:
             process.terminate()
@@ -204,10 +206,10 @@
             await fleet.start(nursery)
             (gateway,) = fleet.gateways
             while gateway.is_starting:
-                await trio.sleep(SHORTEST_GAP_SECONDS)
+                await trio.sleep(SIGNAL_GAP_SECONDS)
             while gateway.is_running:
                 gateway.send_signal(signal.SIGTERM)
-                await trio.sleep(SHORTEST_GAP_SECONDS)
+                await trio.sleep(SIGNAL_GAP_SECONDS)
             nursery.cancel_scope.cancel()
         return await gateway.wait_end(1.0)
     finally:
@@ -256,5 +258,5 @@
 def check_rounds(context):
     faulty = [r for r in context.world.results if not r.is_whole]
     assert context.world.results and not faulty, faulty
-    doubled = {k: n for k, n in context.world.executions().items() if k and n > 1}
-    assert not doubled, doubled
+    duplicates = {k: n for k, n in context.world.executions().items() if k and n > 1}
+    assert not duplicates, duplicates
--- a/features/support/world.py
+++ b/features/support/world.py
@@ -130,8 +130,8 @@
         if standins_only:
             deployment.wait_standins()
             return
-        for gateway, hall in GATEWAYS.items():
-            deployment.start_gateway(gateway, hall, aperture=aperture)
+        for gateway, data_hall in GATEWAYS.items():
+            deployment.start_gateway(gateway, data_hall, aperture=aperture)
         for number in ENDPOINT_NUMBERS:
             self.start_agent(f"review-{number}", relayed=relayed)
             self.start_agent(f"order-{number}", relayed=relayed)
@@ -179,8 +179,8 @@
         self.streams.append(stream)
         return stream
 
-    def submit(self, function, *arguments, **named) -> Future:
-        return self.pool.submit(function, *arguments, **named)
+    def submit(self, function, *arguments, **keywords) -> Future:
+        return self.pool.submit(function, *arguments, **keywords)
 
     def call_once(
         self, gateway: str = "gateway-1", key: str | None = None, **arguments
@@ -189,16 +189,16 @@
 
     def executions(self) -> Counter:
         """Return how often all services together have executed each key."""
-        return self._counted("keys")
+        return self._execution_counts("keys")
 
     def tags(self) -> Counter:
-        return self._counted("tags")
+        return self._execution_counts("tags")
 
-    def _counted(self, what: str) -> Counter:
+    def _execution_counts(self, kind: str) -> Counter:
         total: Counter = Counter()
         for number in ENDPOINT_NUMBERS:
             url = f"{self.deployment.url(f'desk-{number}')}/_executions"
-            total.update(self.deployment.client.get(url).json()[what])
+            total.update(self.deployment.client.get(url).json()[kind])
         return total
 
     def owner_of(self, key: str) -> str:
--- a/src/piershore/agent/call_runner.py
+++ b/src/piershore/agent/call_runner.py
@@ -65,15 +65,15 @@
     """
 
     def __init__(self, context: WorkerContext, client: ServiceClient) -> None:
-        self._service = context.settings.service
+        self._service_name = context.settings.service
         self._client = client
         self._config = context.config
         self._send = context.send
         self._owner = SlotOwner(
-            self._service, context.owner, context.settings.ownership
+            self._service_name, context.owner, context.settings.ownership
         )
-        self._keeper = LeaseKeeper(
-            self._service,
+        self._lease_keeper = LeaseKeeper(
+            self._service_name,
             self._owner,
             context.store,
             context.config,
@@ -109,7 +109,7 @@
         """Run calls and maintain the leases until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            nursery.start_soon(self._keeper.run)
+            nursery.start_soon(self._lease_keeper.run)
             while True:
                 await trio.sleep(CLAIM_EXPIRY_INTERVAL_SECONDS)
                 self._owner.drop_expired_claims(
@@ -119,7 +119,7 @@
     async def close(self) -> None:
         """Try to release the leases, then close the connection to the service."""
         with trio.move_on_after(LEASE_RELEASE_TIMEOUT_SECONDS):
-            await self._keeper.update_leases()
+            await self._lease_keeper.update_leases()
         await self._client.close()
 
     def leave(self) -> None:
@@ -144,7 +144,7 @@
         """Run a call, wait for a running one, replay a stored answer, or refuse."""
         waiter = Waiter(link, call.request)
         if self._is_non_repeatable(call):
-            self._call_once(waiter, call)
+            self._call_non_repeatable(waiter, call)
         elif self._leaving:
             self._refuse(waiter, RefusalReason.LEAVING, Outcome.NOT_RUN)
         elif self._running >= MAX_RUNNING_CALLS:
@@ -157,17 +157,20 @@
         # stricter of the two applies.
         if call.non_repeatable:
             return True
-        service = self._config.get(ObjectKind.SERVICE, self._service)
+        service = self._config.get(ObjectKind.SERVICE, self._service_name)
         if service is not None and call.kind in service.non_repeatable_kinds:
             return True
         account = self._config.get(ObjectKind.ACCOUNT, call.account)
         if account is None:
             return False
         template = self._config.get(ObjectKind.TEMPLATE, account.template)
-        sets = [account.overrides, *([template.parameters] if template else [])]
-        return any(call.kind in (p.non_repeatable_kinds or ()) for p in sets)
+        parameter_sets = [
+            account.overrides,
+            *([template.parameters] if template else []),
+        ]
+        return any(call.kind in (p.non_repeatable_kinds or ()) for p in parameter_sets)
 
-    def _call_once(self, waiter: Waiter, call: Call) -> None:
+    def _call_non_repeatable(self, waiter: Waiter, call: Call) -> None:
         try:
             key = MintedKey.parse(call.key)
         except InvalidKeyError:
@@ -195,9 +198,9 @@
 
     def _spawn(self, function: Callable, *arguments: object) -> None:
         self._running += 1
-        self._nursery.start_soon(self._counted, function, *arguments)
+        self._nursery.start_soon(self._run_counted, function, *arguments)
 
-    async def _counted(self, function: Callable, *arguments: object) -> None:
+    async def _run_counted(self, function: Callable, *arguments: object) -> None:
         try:
             await function(*arguments)
         finally:
--- a/src/piershore/agent/daemon.py
+++ b/src/piershore/agent/daemon.py
@@ -57,10 +57,10 @@
         self._links: dict[int, FrameQueue[AgentFrame]] = {}
         self._store = HttpPlatformStore(settings.platform_url)
         self._server = LinkServer(settings.listen, self)
-        self._work: EndpointWorker | None = None
+        self._worker: EndpointWorker | None = None
         self._random = Random()
         self._leaving = trio.Event()
-        self._config_heard_at = float("-inf")
+        self._config_received_at = float("-inf")
         self._receivers: dict[int, BatchReceiver] = {}
 
     async def run(self) -> None:
@@ -77,8 +77,8 @@
 
     async def close(self) -> None:
         """Close the worker, which releases its leases, and all connections."""
-        if self._work is not None:
-            await self._work.close()
+        if self._worker is not None:
+            await self._worker.close()
         self._heartbeat_all()
         for frames in self._links.values():
             frames.close()
@@ -91,8 +91,8 @@
         if self._leaving.is_set():
             return
         self._leaving.set()
-        if self._work is not None:
-            self._work.leave()
+        if self._worker is not None:
+            self._worker.leave()
         self._heartbeat_all()
         log_state_change("agent_leaving", endpoint=self._owner.endpoint, cause=cause)
 
@@ -114,20 +114,20 @@
         self._links.pop(link, None)
         self._receivers.pop(link, None)
         metrics.LINKS.set(len(self._links))
-        if self._work is not None:
-            self._work.link_closed(link)
+        if self._worker is not None:
+            self._worker.link_closed(link)
 
     def frame_received(self, link: int, frame: GatewayFrame) -> None:
         """Dispatch a frame from a gateway."""
         body = frame.WhichOneof("body")
         if body == "config":
-            self._take_configuration(link, frame.config)
+            self._apply_configuration(link, frame.config)
         elif body == "drain":
             self.leave("operator")
-        elif self._work is not None:
-            self._work.frame_received(link, frame)
+        elif self._worker is not None:
+            self._worker.frame_received(link, frame)
         else:
-            self._refuse_early(link, frame)
+            self._refuse_not_ready(link, frame)
 
     async def _serve(self, nursery: trio.Nursery) -> None:
         nursery.start_soon(self._heartbeat_loop)
@@ -141,10 +141,10 @@
             send=self._send,
             request_heartbeat=self._heartbeat_all,
         )
-        self._work = WORKERS_BY_SERVICE_TYPE[service.type].create(context)
+        self._worker = WORKERS_BY_SERVICE_TYPE[service.type].create(context)
         if self._leaving.is_set():
-            self._work.leave()
-        nursery.start_soon(self._work.run)
+            self._worker.leave()
+        nursery.start_soon(self._worker.run)
         if self._settings.metrics_listen is not None:
             host, _, port = self._settings.metrics_listen.rpartition(":")
             start_http_server(int(port), host, metrics.REGISTRY)
@@ -169,15 +169,15 @@
                 return service
             await trio.sleep(POLL_INTERVAL_SECONDS)
 
-    def _refuse_early(self, link: int, frame: GatewayFrame) -> None:
+    def _refuse_not_ready(self, link: int, frame: GatewayFrame) -> None:
         body = frame.WhichOneof("body")
         if body not in REQUEST_BODIES:
             return
-        is_first = body == "submit"
+        is_submission = body == "submit"
         refused = Refused(
             request=getattr(frame, body).request,
             reason=RefusalReason.NOT_READY,
-            outcome=Outcome.NOT_RUN if is_first else Outcome.UNKNOWN,
+            outcome=Outcome.NOT_RUN if is_submission else Outcome.UNKNOWN,
         )
         self._send(link, AgentFrame(refused=refused))
 
@@ -188,10 +188,10 @@
         while True:
             limit = (
                 INITIAL_LIST_INTERVAL_SECONDS
-                if self._work is None
+                if self._worker is None
                 else MAX_UPDATE_GAP_SECONDS
             )
-            if trio.current_time() - self._config_heard_at > limit:
+            if trio.current_time() - self._config_received_at > limit:
                 await self._list_configuration()
             await trio.sleep(limit * self._random.uniform(0.5, 1.0))
 
@@ -207,7 +207,7 @@
 
     def _check_drain(self) -> None:
         # An agent that starts while drained waits in `_await_service` instead.
-        if self._work is not None and self._is_drained():
+        if self._worker is not None and self._is_drained():
             self.leave("operator")
 
     async def _leave_on_signal(self) -> None:
@@ -215,7 +215,7 @@
         self.leave("signal")
 
     async def _finish_work(self) -> None:
-        while self._work is not None and not self._work.is_idle:
+        while self._worker is not None and not self._worker.is_idle:
             await trio.sleep(POLL_INTERVAL_SECONDS)
 
     async def _heartbeat_loop(self) -> None:
@@ -224,46 +224,46 @@
             await trio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
     def _heartbeat_all(self) -> None:
-        beat = self._heartbeat()
+        heartbeat = self._heartbeat()
         for frames in self._links.values():
-            frames.put(beat)
+            frames.put(heartbeat)
 
-    def _take_configuration(self, link: int, batch: ConfigBatch) -> None:
-        self._config_heard_at = trio.current_time()
+    def _apply_configuration(self, link: int, batch: ConfigBatch) -> None:
+        self._config_received_at = trio.current_time()
         receiver = self._receivers.get(link)
         if receiver is not None:
             receiver.apply(batch)
             metrics.CONFIG_REVISION.set(self._config.complete_to)
 
     def _heartbeat(self) -> AgentFrame:
-        beat = Heartbeat(
-            leaving=self._leaving.is_set() or self._work is None,
+        heartbeat = Heartbeat(
+            leaving=self._leaving.is_set() or self._worker is None,
             complete_to=self._config.complete_to,
             applied_beyond=self._config.applied_beyond,
         )
-        if self._work is not None:
-            load = self._work.load
-            beat.running = load.running
-            beat.queued = load.queued
-            beat.free_share = load.free_share
-            beat.tokens_per_second = load.tokens_per_second
-            beat.intervals.extend(self._intervals(self._work))
+        if self._worker is not None:
+            load = self._worker.load
+            heartbeat.running = load.running
+            heartbeat.queued = load.queued
+            heartbeat.free_share = load.free_share
+            heartbeat.tokens_per_second = load.tokens_per_second
+            heartbeat.intervals.extend(self._held_intervals(self._worker))
             metrics.RUNNING.set(load.running)
             metrics.QUEUED.set(load.queued)
-        return AgentFrame(heartbeat=beat)
+        return AgentFrame(heartbeat=heartbeat)
 
     @staticmethod
-    def _intervals(work: EndpointWorker) -> list[HeldInterval]:
+    def _held_intervals(worker: EndpointWorker) -> list[HeldInterval]:
         return [
             HeldInterval(
-                layout_start=held.layout_start,
-                slot_count=held.slot_count,
-                slot=held.slot,
-                start=held.interval.start,
-                end=held.interval.end,
-                released=held.interval.released,
+                layout_start=slot_interval.layout_start,
+                slot_count=slot_interval.slot_count,
+                slot=slot_interval.slot,
+                start=slot_interval.interval.start,
+                end=slot_interval.interval.end,
+                released=slot_interval.interval.released,
             )
-            for held in work.intervals
+            for slot_interval in worker.intervals
         ]
 
     def _send(self, link: int, frame: AgentFrame) -> None:
--- a/src/piershore/agent/endpoint_worker.py
+++ b/src/piershore/agent/endpoint_worker.py
@@ -95,8 +95,8 @@
 ) -> Callable[[type[EndpointWorker]], type[EndpointWorker]]:
     """Register a worker class for endpoints of one service type."""
 
-    def register(work: type[EndpointWorker]) -> type[EndpointWorker]:
-        WORKERS_BY_SERVICE_TYPE[service_type] = work
-        return work
+    def register(worker: type[EndpointWorker]) -> type[EndpointWorker]:
+        WORKERS_BY_SERVICE_TYPE[service_type] = worker
+        return worker
 
     return register
--- a/src/piershore/agent/generation_readers.py
+++ b/src/piershore/agent/generation_readers.py
@@ -23,7 +23,7 @@
         self._send = send
         self._refusals = refusals
         self._generations: dict[str, Generation] = {}
-        self._names: dict[tuple[int, int], str] = {}
+        self._identities: dict[tuple[int, int], str] = {}
         self._sender = StreamSender(self._generations, flush_interval, send)
 
     @property
@@ -43,7 +43,7 @@
         """Add a new generation and its first reader."""
         generation.attach(link, request, 0)
         self._generations[generation.identity] = generation
-        self._names[link, request] = generation.identity
+        self._identities[link, request] = generation.identity
 
     def send_accepted(self, identity: str) -> None:
         """Send the reader a notice that its generation was accepted."""
@@ -74,15 +74,15 @@
             )
             return
         if superseded is not None:
-            self._cut_off(superseded)
+            self._end_superseded(superseded)
         metrics.RESUMES.labels(by="reader").inc()
-        self._names[link, attach.request] = attach.generation
+        self._identities[link, attach.request] = attach.generation
         self._send(link, _accepted(attach.request, attach.generation))
         self._sender.mark_pending(attach.generation)
 
     def acknowledge(self, link: int, message: Acknowledge) -> None:
         """Record how many tokens the reader has received."""
-        identity = self._names.get((link, message.request))
+        identity = self._identities.get((link, message.request))
         if identity in self._generations:
             self._generations[identity].acknowledge(
                 link, message.request, message.index
@@ -91,7 +91,7 @@
 
     def detach(self, link: int, request: int) -> Generation | None:
         """Detach a reader; return its generation, or None if there is none."""
-        identity = self._names.pop((link, request), None)
+        identity = self._identities.pop((link, request), None)
         generation = self._generations.get(identity)
         if generation is not None:
             generation.detach(link, request, trio.current_time())
@@ -99,14 +99,14 @@
 
     def link_closed(self, link: int) -> None:
         """Detach the readers of a closed link."""
-        for place in [place for place in self._names if place[0] == link]:
-            self.detach(*place)
+        for key in [key for key in self._identities if key[0] == link]:
+            self.detach(*key)
 
     def drop(self, identity: str) -> Reader | None:
         """Drop a generation and return its reader, if any."""
         reader = self._generations.pop(identity).reader
         if reader is not None:
-            self._names.pop((reader.link, reader.request), None)
+            self._identities.pop((reader.link, reader.request), None)
         return reader
 
     def mark_pending(self, identity: str) -> None:
@@ -117,8 +117,8 @@
         """Send what is pending now, without waiting for the flush interval."""
         self._sender.flush()
 
-    def _cut_off(self, reader: Reader) -> None:
-        self._names.pop((reader.link, reader.request), None)
+    def _end_superseded(self, reader: Reader) -> None:
+        self._identities.pop((reader.link, reader.request), None)
         ended = Ended(request=reader.request, reason=RefusalReason.SUPERSEDED_READER)
         self._send(reader.link, AgentFrame(ended=ended))
 
--- a/src/piershore/agent/generation_runner.py
+++ b/src/piershore/agent/generation_runner.py
@@ -59,12 +59,12 @@
         self._settings = settings
         self._engine = engine
         self._queue = queue
-        self._prompts: dict[str, Submit] = {}
-        self._scopes: dict[str, trio.CancelScope] = {}
+        self._submissions: dict[str, Submit] = {}
+        self._cancel_scopes: dict[str, trio.CancelScope] = {}
         self._ended_at: dict[str, float] = {}
         self._wake_poll = trio.Event()
-        self._stalls = StallDetector()
-        self._pace = PaceMeter(queue)
+        self._stall_detector = StallDetector()
+        self._pace_meter = PaceMeter(queue)
         self._refusals = Refusals(send)
         self._readers = GenerationReaders(settings.flush_interval, send, self._refusals)
         self._leaving = False
@@ -101,7 +101,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._poll_loop, nursery)
             nursery.start_soon(self._readers.run)
-            nursery.start_soon(self._janitor_loop)
+            nursery.start_soon(self._cleanup_loop)
 
     async def close(self) -> None:
         """Send the readers what is pending and close the connection to the engine."""
@@ -152,7 +152,7 @@
             identity, submit.account, self._settings.retained_tokens, now
         )
         self._readers.add(generation, link, submit.request)
-        self._prompts[identity] = submit
+        self._submissions[identity] = submit
         self._queue.submit(self._candidate(identity, submit, now), now)
         self._wake_poll.set()
 
@@ -186,7 +186,7 @@
                 await self._wake_poll.wait()
             self._wake_poll = trio.Event()
             if self._refusals.backoff_seconds_left:
-                self._refuse_waiting()
+                self._refuse_all_queued()
             now = trio.current_time()
             for action in self._queue.poll(now, self._has_permit):
                 if isinstance(action, Refuse):
@@ -200,7 +200,7 @@
         return not self._refusals.seconds_until_permit()
 
     def _refuse_queued(self, action: Refuse) -> None:
-        reader = self._drop_unrun(action.candidate.identity)
+        reader = self._drop_not_run(action.candidate.identity)
         if reader is not None:
             self._refusals.refuse(
                 reader.link,
@@ -209,39 +209,39 @@
                 retry_after=action.retry_after,
             )
 
-    def _drop_unrun(self, identity: str) -> Reader | None:
+    def _drop_not_run(self, identity: str) -> Reader | None:
         """Drop a generation that has not run and return its reader, if any."""
-        self._prompts.pop(identity, None)
+        self._submissions.pop(identity, None)
         return self._readers.drop(identity)
 
-    def _refuse_waiting(self) -> None:
+    def _refuse_all_queued(self) -> None:
         """Refuse all queued generations: another engine may have capacity for them."""
         for candidate in self._queue.waiting():
             self._queue.withdraw(candidate.identity)
-            self._refuse_rested(candidate.identity)
+            self._refuse_during_backoff(candidate.identity)
 
-    def _refuse_rested(self, identity: str) -> None:
-        reader = self._drop_unrun(identity)
+    def _refuse_during_backoff(self, identity: str) -> None:
+        reader = self._drop_not_run(identity)
         if reader is not None:
             self._refusals.refuse_during_backoff(reader.link, reader.request)
 
     async def _generate(self, candidate: Candidate) -> None:
         identity = candidate.identity
         generation = self._readers.get(identity)
-        submit = self._prompts.pop(identity)
+        submit = self._submissions.pop(identity)
         request = GenerationRequest(
             identity, submit.prompt, submit.max_tokens, submit.priority
         )
         ending = Ending(RefusalReason.CANCELLED)
         with trio.CancelScope() as scope:
-            self._scopes[identity] = scope
+            self._cancel_scopes[identity] = scope
             try:
                 ending = Ending(await self._read(generation, request))
             except EngineBackoffError as error:
                 self._refusals.record_backoff(error.seconds)
-                self._give_back(identity)
+                self._refuse_unstarted(identity)
                 return
-        self._scopes.pop(identity, None)
+        self._cancel_scopes.pop(identity, None)
         generation.end(ending)
         self._ended_at[identity] = trio.current_time()
         self._queue.finish(identity, is_complete=ending.reason is None)
@@ -251,11 +251,11 @@
             with trio.CancelScope(shield=True), suppress(EngineLostError):
                 await self._engine.cancel(identity)
 
-    def _give_back(self, identity: str) -> None:
+    def _refuse_unstarted(self, identity: str) -> None:
         """Refuse a generation that the engine refused before it began."""
-        self._scopes.pop(identity, None)
+        self._cancel_scopes.pop(identity, None)
         self._queue.finish(identity, is_complete=False)
-        self._refuse_rested(identity)
+        self._refuse_during_backoff(identity)
         self._wake_poll.set()
 
     async def _read(
@@ -265,33 +265,35 @@
         try:
             async with aclosing(reader.read()) as source:
                 async for tokens in source:
-                    self._take(generation, tokens)
+                    self._append_tokens(generation, tokens)
         except (EngineLostError, EngineUnknownGenerationError, TokenGapError):
             return RefusalReason.ENGINE_LOST
         return None
 
-    def _take(self, generation: Generation, tokens: EngineTokens) -> None:
+    def _append_tokens(self, generation: Generation, tokens: EngineTokens) -> None:
         now = trio.current_time()
         gap = now - generation.last_token_at
         is_first = generation.next_index == 0
-        new = generation.append(tokens.first_index, tokens.tokens, now)
-        if not new:
+        new_count = generation.append(tokens.first_index, tokens.tokens, now)
+        if not new_count:
             return
-        self._queue.record_progress(generation.identity, new)
-        self._pace.count_tokens(new)
-        metrics.TOKENS.inc(new)
+        self._queue.record_progress(generation.identity, new_count)
+        self._pace_meter.count_tokens(new_count)
+        metrics.TOKENS.inc(new_count)
         if is_first:
             self._readers.mark_pending(generation.identity)
             self._readers.flush()
             return
-        stalled = self._stalls.observe(gap / new)
-        if stalled:
+        stall_seconds = self._stall_detector.observe(gap / new_count)
+        if stall_seconds:
             metrics.STALLS.inc()
-            metrics.STALL_SECONDS.inc(stalled)
-        self._pace.observe(generation.identity, gap / new, now, self._scopes)
+            metrics.STALL_SECONDS.inc(stall_seconds)
+        self._pace_meter.observe(
+            generation.identity, gap / new_count, now, self._cancel_scopes
+        )
         self._readers.mark_pending(generation.identity)
 
-    async def _janitor_loop(self) -> None:
+    async def _cleanup_loop(self) -> None:
         grace = self._settings.resume_grace
         while True:
             await trio.sleep(CLEANUP_INTERVAL_SECONDS)
@@ -301,19 +303,19 @@
                     self._abandon(generation)
                 ended_at = self._ended_at.get(generation.identity)
                 if ended_at is not None and now - ended_at > grace:
-                    self._forget(generation)
+                    self._drop_if_delivered(generation)
 
     def _abandon(self, generation: Generation) -> None:
         identity = generation.identity
         if self._queue.withdraw(identity):
-            self._prompts.pop(identity, None)
-            self._forget(generation)
-        elif identity in self._scopes:
-            self._scopes[identity].cancel()
+            self._submissions.pop(identity, None)
+            self._drop_if_delivered(generation)
+        elif identity in self._cancel_scopes:
+            self._cancel_scopes[identity].cancel()
         elif identity in self._ended_at:
-            self._forget(generation)
+            self._drop_if_delivered(generation)
 
-    def _forget(self, generation: Generation) -> None:
+    def _drop_if_delivered(self, generation: Generation) -> None:
         if generation.reader is not None and not generation.is_fully_sent():
             return
         self._readers.drop(generation.identity)
--- a/src/piershore/agent/lease_keeper.py
+++ b/src/piershore/agent/lease_keeper.py
@@ -88,18 +88,22 @@
         table = self._owner.table
         if table is None or self._owner.era < self._newest_era():
             return True
-        return self._is_outdated(table) or self._change(spec, table) != table
+        return (
+            self._has_expired_lease(table) or self._updated_table(spec, table) != table
+        )
 
-    def _is_outdated(self, table: SlotTable) -> bool:
+    def _has_expired_lease(self, table: SlotTable) -> bool:
         """Return whether a lease in the record has expired.
 
         Another agent may have acquired the slot since then. An owner that let its lease
         expire in favour of another agent must read the record again before it requests
         a slot.
         """
-        now = self._now()
-        lasts = (slot.last for slot in table.current.slots)
-        return any(last and not last.released and last.end < now for last in lasts)
+        now = self._now_ms()
+        last_leases = (slot.last for slot in table.current.slots)
+        return any(
+            last and not last.released and last.end < now for last in last_leases
+        )
 
     def _newest_era(self) -> int:
         """Return the newest era seen in the store's answers or from gateways."""
@@ -117,12 +121,12 @@
             table = await self._first_table(spec, era)
         else:
             self._owner.confirm(table, version)
-        wanted = self._change(spec, table)
-        if stored is not None and wanted == table:
+        updated = self._updated_table(spec, table)
+        if stored is not None and updated == table:
             return
         name = slot_table_name(self._service, era)
         written = await settled_put(
-            self._store, name, encode(wanted), version, uuid4().hex
+            self._store, name, encode(updated), version, uuid4().hex
         )
         self._confirm(written, era)
         metrics.LEASE_CHANGES.inc()
@@ -131,12 +135,12 @@
         """Return the first record of an era, in which no slot has an owner."""
         spec_version = self._spec_version()
         if not era:
-            start = self._now() - 1
+            start = self._now_ms() - 1
             return SlotTable.create(self._service, spec.slots, start, spec_version)
-        found = await self._find_record(era)
-        return self._owner.begin_era(spec.slots, spec_version, self._now(), found)
+        found = await self._find_earlier_table(era)
+        return self._owner.begin_era(spec.slots, spec_version, self._now_ms(), found)
 
-    async def _find_record(self, era: int) -> SlotTable | None:
+    async def _find_earlier_table(self, era: int) -> SlotTable | None:
         """Return the newest record of earlier eras, or None if the store has none."""
         for earlier in range(era - 1, max(-1, era - 1 - MAX_SEARCHED_ERAS), -1):
             stored = await self._store.get(slot_table_name(self._service, earlier))
@@ -144,9 +148,11 @@
                 return decode(SlotTable, stored.value)
         return None
 
-    def _change(self, spec: Service, table: SlotTable) -> SlotTable:
+    def _updated_table(self, spec: Service, table: SlotTable) -> SlotTable:
         resized = table.resize(spec.slots, self._spec_version())
-        return self._owner.update_leases(resized, self._now(), self._members())
+        return self._owner.update_leases(
+            resized, self._now_ms(), self._undrained_endpoints()
+        )
 
     def _confirm(self, stored: StoredObject, era: int) -> None:
         if self._store.era != era:
@@ -156,7 +162,7 @@
         self._owner.confirm(decode(SlotTable, stored.value), stored.version)
         self._on_change()
 
-    def _members(self) -> set[str]:
+    def _undrained_endpoints(self) -> set[str]:
         return {
             name
             for name, status in self._config.all(ObjectKind.ENDPOINT)
@@ -168,7 +174,7 @@
         return stored.version if stored is not None else 0
 
     @staticmethod
-    def _now() -> int:
+    def _now_ms() -> int:
         return int(time.time() * MILLISECONDS_PER_SECOND)
 
 
--- a/src/piershore/agent/pace_meter.py
+++ b/src/piershore/agent/pace_meter.py
@@ -15,7 +15,7 @@
 
     def __init__(self, queue: EngineQueue) -> None:
         self._queue = queue
-        self._identity: str | None = None
+        self._measured_identity: str | None = None
         self._new_tokens = 0
 
     def count_tokens(self, tokens: int) -> None:
@@ -30,8 +30,8 @@
         Only one generation is measured until it is no longer in `running`; samples of
         others are ignored.
         """
-        if self._identity not in running:
-            self._identity = identity
-        if self._identity == identity:
+        if self._measured_identity not in running:
+            self._measured_identity = identity
+        if self._measured_identity == identity:
             tokens, self._new_tokens = self._new_tokens, 0
             self._queue.record_step(tokens, self._queue.running_count, seconds, now)
--- a/src/piershore/agent/refusals.py
+++ b/src/piershore/agent/refusals.py
@@ -22,35 +22,35 @@
 
     def __init__(self, send: Send) -> None:
         self._send = send
-        self._rest = Backoff()
-        self._rate = EndpointRateLimiter()
+        self._backoff = Backoff()
+        self._rate_limiter = EndpointRateLimiter()
 
     @property
     def backoff_seconds_left(self) -> float:
         """Seconds until the endpoint's requested backoff ends; 0 without one."""
-        return self._rest.seconds_left(trio.current_time())
+        return self._backoff.seconds_left(trio.current_time())
 
     def record_backoff(self, seconds: float) -> None:
         """Record that the endpoint has requested a backoff of some seconds."""
-        self._rest.extend(seconds, trio.current_time())
+        self._backoff.extend(seconds, trio.current_time())
 
     def record_rate(self, rate: float | None) -> None:
         """Record the rate limit that an answer advertises.
 
         `rate` is in requests per second, None if the answer advertises no limit.
         """
-        self._rate.record_answer(rate, trio.current_time())
+        self._rate_limiter.record_answer(rate, trio.current_time())
 
     def try_acquire_permit(self) -> bool:
         """Acquire a permit for one request; return whether the rate limit allows it."""
-        return self._rate.try_acquire(trio.current_time())
+        return self._rate_limiter.try_acquire(trio.current_time())
 
     def seconds_until_permit(self, waiting: int = 0) -> float:
         """Return the seconds until the rate limit permits a request.
 
         `waiting` is the number of requests that are ahead of it.
         """
-        return self._rate.seconds_until_available(trio.current_time(), waiting)
+        return self._rate_limiter.seconds_until_available(trio.current_time(), waiting)
 
     def refuse(
         self,
--- a/src/piershore/agent/stream_sender.py
+++ b/src/piershore/agent/stream_sender.py
@@ -26,7 +26,7 @@
         self._generations = generations
         self._interval = interval
         self._send = send
-        self._marked: set[str] = set()
+        self._pending: set[str] = set()
         self._wake = trio.Event()
 
     async def run(self) -> None:
@@ -39,13 +39,13 @@
 
     def mark_pending(self, identity: str) -> None:
         """Mark a generation that may have tokens or its end to send."""
-        self._marked.add(identity)
+        self._pending.add(identity)
         self._wake.set()
 
     def flush(self) -> None:
         """Send what the marked generations have pending."""
-        marked = [self._generations.get(identity) for identity in self._marked]
-        self._marked.clear()
+        marked = [self._generations.get(identity) for identity in self._pending]
+        self._pending.clear()
         present = [generation for generation in marked if generation is not None]
         self._send_tokens(present)
         for generation in present:
--- a/src/piershore/commands/log_files.py
+++ b/src/piershore/commands/log_files.py
@@ -25,8 +25,8 @@
     for file in files:
         try:
             with open(file, "rb") as stream:
-                for text in stream:
-                    yield text
+                for line in stream:
+                    yield line
                     count += 1
                     if shows_progress and count % LINES_PER_PROGRESS_UPDATE == 0:
                         print(f"\r{count:,} lines read", end="", file=sys.stderr)
--- a/src/piershore/commands/main.py
+++ b/src/piershore/commands/main.py
@@ -24,11 +24,11 @@
     words = [word for word in argv[1:] if word not in HELP_FLAGS]
     wants_help = len(words) < len(argv) - 1
     try:
-        rest = flags.FLAGS([argv[0], *words])[1:]
+        arguments = flags.FLAGS([argv[0], *words])[1:]
     except flags.Error as error:
         print(f"piershore: {error}", file=sys.stderr)
         return ExitCode.USAGE
-    verb = load_command(rest[0]) if rest else None
+    verb = load_command(arguments[0]) if arguments else None
     if verb is None:
         print("\n".join(_overview()), file=sys.stdout if wants_help else sys.stderr)
         return ExitCode.OK if wants_help else ExitCode.USAGE
@@ -36,7 +36,7 @@
         print("\n".join(_help(verb)))
         return ExitCode.OK
     try:
-        return verb.run(rest[1:])
+        return verb.run(arguments[1:])
     except CommandError as error:
         print(f"piershore: {error.message}", file=sys.stderr)
         return error.exit_code
