--- a/devtools/mutants.py
+++ b/devtools/mutants.py
@@ -156,7 +156,7 @@
         "not_run",
     ),
     Mutant(
-        "an agent stops without finishing its work",
+        "an agent stops without finishing its requests",
         "agent/daemon.py",
         "            await self._finish_work()\n",
         "",
@@ -170,7 +170,7 @@
         "planned_stop",
     ),
     Mutant(
-        "a leaving agent goes on taking work",
+        "a leaving agent still accepts requests",
         "agent/daemon.py",
         "        if self._worker is not None:\n            self._worker.leave()\n",
         "",
@@ -419,7 +419,7 @@
         "crashing_requests",
     ),
     Mutant(
-        "one lease record for all eras of the store",
+        "one slot table for all eras of the store",
         KEEPER,
         'f"{service}@{era}" if era else service',
         "service",
@@ -475,7 +475,7 @@
         "endpoint_rate_limits",
     ),
     Mutant(
-        "an agent keeps no rate",
+        "an agent ignores its endpoint's rate limit",
         "agent/refusals.py",
         "self._rate_limiter.record_answer(rate, trio.current_time())",
         "pass",
--- a/features/planned_stop.feature
+++ b/features/planned_stop.feature
@@ -3,7 +3,7 @@
 
   Scenario Outline: <name> is stopped under load
     Given a running deployment
-    When <name> is stopped while streams, whole answers and calls run
+    When <name> is stopped while streams, unstreamed answers and calls run
     Then all of them complete and the process exits successfully
 
     Examples:
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -153,7 +153,7 @@
     return sum(world.deployment.client.get(url).json()["tags"].values())
 
 
-@when("{name} is stopped while streams, whole answers and calls run")
+@when("{name} is stopped while streams, unstreamed answers and calls run")
 def stop_under_load(context, name):
     world = context.world
     start_load(world, 8)
