--- a/features/steps/agent_backoff_steps.py
+++ b/features/steps/agent_backoff_steps.py
@@ -65,10 +65,10 @@
         Token frames are left out.
         """
         bodies = [(f.WhichOneof("body"), f) for f in self.frames]
-        own = [(b, getattr(f, b)) for b, f in bodies if b != "tokens"]
-        own = [(b, m) for b, m in own if m.request == request]
-        kinds = [body for body, _ in own]
-        return kinds, own[-1][1] if own else None
+        messages = [(b, getattr(f, b)) for b, f in bodies if b != "tokens"]
+        messages = [(b, m) for b, m in messages if m.request == request]
+        kinds = [body for body, _ in messages]
+        return kinds, messages[-1][1] if messages else None
 
     async def wait_for(self, request, *kinds):
         while not set(kinds) & set(self.frames_of(request)[0]):
@@ -115,7 +115,7 @@
 
 
 def service_sender(agent, nursery):
-    work = WorkerContext(
+    worker_context = WorkerContext(
         owner=Owner("desk-1", "a"),
         settings=agent.settings,
         service=None,
@@ -125,7 +125,7 @@
         request_heartbeat=lambda: None,
     )
     client = HttpServiceClient(f"http://127.0.0.1:{agent.port}")
-    runner = CallRunner(work, client)
+    runner = CallRunner(worker_context, client)
     runner._nursery = nursery
 
     def send(number):
