--- a/features/agent_rate_limits.feature
+++ b/features/agent_rate_limits.feature
@@ -15,7 +15,7 @@
 
   Scenario: an agent reports a rate limit to its gateway
     When an agent refuses a request with endpoint_limited and 0.5 s
-    Then its gateway chooses others, and it again after that time
+    Then its gateway chooses other agents, and this one again after that time
 
   Scenario: permits of an agent's rate limiter
     Then in any 4 s there are no more permits than the rate allows and one second's worth
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -30,13 +30,13 @@
   # A link that reconnected to the new agent before its announcement was kept beside the
   # one that the announcement opened: two links to one process, until that ended.
   Scenario: A link reconnects to a restarted agent before the agent is announced
-    Given a gateway whose link was opened again before it heard who is there now
-    When the new agent's announcement comes
-    Then the gateway goes on with that link and opens no other
+    Given a gateway whose link reconnected to a restarted agent before its announcement
+    When the gateway receives the new agent's announcement
+    Then the gateway keeps that link and opens no other
 
   # The link reconnected to the agent's next incarnation, beside the link that had been
   # opened to that one.
   Scenario: An agent is replaced while its link waits to reconnect
-    Given a link that waits to be opened again
-    When its agent has been replaced by then
-    Then it isn't opened again
+    Given a link that waits to reconnect
+    When its agent is replaced before it reconnects
+    Then it doesn't reconnect
--- a/features/requested_backoffs.feature
+++ b/features/requested_backoffs.feature
@@ -96,20 +96,20 @@
   # unknown outcome. Two of these quarantine a request, as if it had crashed engines. Later
   # requests were sent within the backoff: 2 of 2 for each generation, 1 of 1 for each call.
   Scenario: an engine requests a backoff of an agent of the product's own interface
-    When an engine asks its agent for 1 s of rest under a generation, and more are sent
-    Then they are refused as unrun with endpoint_resting and what is left of the rest
+    When an engine requests a backoff of 1 s for a generation, and more are sent
+    Then they are refused as not run with endpoint_resting and the remaining backoff
     And 1 request reached the engine
-    And a generation that is sent after the rest runs
+    And a generation that is sent after the backoff runs
 
   Scenario: a plain service requests a backoff of its agent
-    When a plain service asks its agent for 1 s of rest under a call, and more are sent
-    Then they are refused as unrun with endpoint_resting and what is left of the rest
+    When a plain service requests a backoff of 1 s for a call, and more are sent
+    Then they are refused as not run with endpoint_resting and the remaining backoff
     And 1 request reached the service
-    And a call that is sent after the rest runs
+    And a call that is sent after the backoff runs
 
   Scenario: an agent reports a backoff to its gateway
     When an agent refuses a request with endpoint_resting and 0.5 s
-    Then its gateway chooses others, and it again after that time
+    Then its gateway chooses other agents, and this one again after that time
 
   # The same with refusals that request no backoff: 47 to 53 of 549 to 589 calls were
   # refused.
--- a/features/steps/agent_backoff_steps.py
+++ b/features/steps/agent_backoff_steps.py
@@ -154,7 +154,7 @@
     context.served = served
 
 
-@when("an engine asks its agent for 1 s of rest under a generation, and more are sent")
+@when("an engine requests a backoff of 1 s for a generation, and more are sent")
 def back_off_engine(context):
     async def script(agent, nursery):
         send = engine_sender(agent, nursery)
@@ -163,7 +163,7 @@
     run_script(context, AgentHarness(EngineStandin(EngineSettings(), 1.0)), script)
 
 
-@when("a plain service asks its agent for 1 s of rest under a call, and more are sent")
+@when("a plain service requests a backoff of 1 s for a call, and more are sent")
 def back_off_service(context):
     async def script(agent, nursery):
         send = service_sender(agent, nursery)
@@ -172,7 +172,7 @@
     run_script(context, AgentHarness(ServiceStandin()), script)
 
 
-@then("they are refused as unrun with {code} and what is left of the rest")
+@then("they are refused as not run with {code} and the remaining backoff")
 def check_refused(context, code):
     for number in range(2, 2 + SENT_DURING_BACKOFF):
         kinds, refused = context.agent.frames_of(number)
@@ -191,7 +191,7 @@
     assert context.requests == count, context.requests
 
 
-@then("a {request} that is sent after the rest runs")
+@then("a {request} that is sent after the backoff runs")
 def check_after(context, request):
     assert set(context.served) & set(context.last), context.last
     assert "refused" not in context.last
@@ -228,7 +228,7 @@
     trio.run(run)
 
 
-@then("its gateway chooses others, and it again after that time")
+@then("its gateway chooses other agents, and this one again after that time")
 def check_chosen(context):
     assert context.chosen_during == {"b"}
     assert context.chosen_when_none_left is None
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -79,7 +79,7 @@
     context.links._follow()
 
 
-@given("a gateway whose link was opened again before it heard who is there now")
+@given("a gateway whose link reconnected to a restarted agent before its announcement")
 def given_found_first(context):
     context.view = ConfigView()
     spec = Service(ServiceType.PLAIN, ("order",))
@@ -97,24 +97,24 @@
     first_heartbeat(context)
 
 
-@when("the new agent's announcement comes")
+@when("the gateway receives the new agent's announcement")
 def announce_new(context):
     announce(context, "new", 3)
 
 
-@then("the gateway goes on with that link and opens no other")
+@then("the gateway keeps that link and opens no other")
 def check_one_link(context):
     assert context.links.all == (context.link,)
     assert context.link.state.is_open and context.link.state.takes_work
 
 
-@given("a link that waits to be opened again")
+@given("a link that waits to reconnect")
 def given_waiting(context):
     status = EndpointStatus("desk", "ikeja", "127.0.0.1:1", "old")
     context.link = AgentLink("gateway-1", "order-1", status, ConfigView())
 
 
-@when("its agent has been replaced by then")
+@when("its agent is replaced before it reconnects")
 def replace_agent(context):
     context.opened = 0
 
@@ -135,6 +135,6 @@
     trio.run(run, clock=MockClock(autojump_threshold=0))
 
 
-@then("it isn't opened again")
+@then("it doesn't reconnect")
 def check_not_reopened(context):
     assert context.opened == 1, context.opened
