--- a/src/piershore/commands/explain_command.py
+++ b/src/piershore/commands/explain_command.py
@@ -39,15 +39,15 @@
         if not arguments:
             raise CommandError(ExitCode.USAGE, "ID is missing")
         request, *files = arguments
-        story = list(build_timeline(read_lines(read_raw_lines(files)), request))
-        if not story:
+        timeline = list(build_timeline(read_lines(read_raw_lines(files)), request))
+        if not timeline:
             raise CommandError(ExitCode.FAILED, f"no line names request {request}")
         if OUTPUT.value == "json":
-            lines = [line.as_json() for line in story]
+            lines = [line.as_json() for line in timeline]
             print(orjson.dumps(lines, option=orjson.OPT_INDENT_2).decode())
             return ExitCode.OK
         has_colours = sys.stdout.isatty() and "NO_COLOR" not in os.environ
-        for line in story:
+        for line in timeline:
             print(_coloured(line) if has_colours else line.as_text())
         return ExitCode.OK
 
