--- a/src/piershore/commands/explain_command.py
+++ b/src/piershore/commands/explain_command.py
@@ -28,7 +28,7 @@
 
 @command("explain")
 class ExplainCommand(Command):
-    """Show the history of one request."""
+    """Show the timeline of one request."""
 
     usage = "explain ID [FILE...] [--output json]"
     summary = "Show what happened to a request, from the logs of one or more gateways."
