--- a/features/steps/agent_backoff_steps.py
+++ b/features/steps/agent_backoff_steps.py
@@ -205,7 +205,7 @@
     async def run():
         links = AgentLinks("g", "hall", "least_work_of_two", 8, ConfigView())
         links._is_staying = lambda state: True
-        links._choice = LeastWorkOfTwo("hall", Random(1))
+        links._policy = LeastWorkOfTwo("hall", Random(1))
         links._links = {name: _Link(name) for name in ("a", "b")}
         refused = Refused(
             request=1,
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -76,7 +76,7 @@
     status = EndpointStatus("desk", "ikeja", "127.0.0.1:1", incarnation)
     name = ObjectName(ObjectKind.ENDPOINT, "order-1")
     context.view.apply(StoredObject(name, version, encode(status)))
-    context.links._follow()
+    context.links._update_links()
 
 
 @given("a gateway whose link was opened again before it heard who is there now")
--- a/features/steps/once_steps.py
+++ b/features/steps/once_steps.py
@@ -26,7 +26,7 @@
 
 
 @when("a key for a non-repeatable call is minted at gateway-1")
-def prepare_call(context):
+def mint_key(context):
     world = context.world
     world.values["key"] = world.caller().mint_key(SERVICE)
 
@@ -41,26 +41,26 @@
     return first, arguments
 
 
-def send_again(context, gateway, seconds, disturb):
+def repeat_call(context, gateway, seconds, inject_fault):
     world = context.world
     first, arguments = first_call(world, seconds)
-    disturb(world, first)
+    inject_fault(world, first)
     again = world.call_once(gateway, world.values["key"], **arguments)
     world.results += [first.result(60), again]
 
 
 @when("the call is sent with it, and again to {gateway} while it runs")
-def again_while_running(context, gateway):
-    send_again(context, gateway, LONG_CALL_SECONDS, lambda world, first: None)
+def repeat_while_running(context, gateway):
+    repeat_call(context, gateway, LONG_CALL_SECONDS, lambda world, first: None)
 
 
-def wait_done(world, first):
+def wait_finished(world, first):
     assert first.result(60).is_whole
 
 
 @when("the call is sent with it, and again to {gateway} after it has finished")
-def again_after_done(context, gateway):
-    send_again(context, gateway, 0, wait_done)
+def repeat_after_finish(context, gateway):
+    repeat_call(context, gateway, 0, wait_finished)
 
 
 def kill_owner(world, first):
@@ -68,8 +68,8 @@
 
 
 @when("the call is sent with it, and again to {gateway} after its owner was killed")
-def again_after_kill(context, gateway):
-    send_again(context, gateway, LONG_CALL_SECONDS, kill_owner)
+def repeat_after_kill(context, gateway):
+    repeat_call(context, gateway, LONG_CALL_SECONDS, kill_owner)
 
 
 def replace_owner(world, first):
@@ -79,8 +79,8 @@
 
 
 @when("the call is sent with it, and again to {gateway} after its owner was replaced")
-def again_after_replacement(context, gateway):
-    send_again(context, gateway, LONG_CALL_SECONDS, replace_owner)
+def repeat_after_replacement(context, gateway):
+    repeat_call(context, gateway, LONG_CALL_SECONDS, replace_owner)
 
 
 def freeze_owner(world, first):
@@ -88,14 +88,14 @@
 
 
 @when("the call is sent with it, and again to {gateway} while its owner is frozen")
-def again_while_frozen(context, gateway):
-    send_again(context, gateway, LONG_CALL_SECONDS, freeze_owner)
+def repeat_while_frozen(context, gateway):
+    repeat_call(context, gateway, LONG_CALL_SECONDS, freeze_owner)
     process = context.world.deployment.process(context.world.values["owner"])
     process.thaw()
 
 
-def sleep_through_takeover(world, first):
-    wait_done(world, first)
+def freeze_until_takeover(world, first):
+    wait_finished(world, first)
     owner = world.deployment.process(world.values["owner"])
     owner.freeze()
     other = next(f"order-{n}" for n in ENDPOINT_NUMBERS if f"order-{n}" != owner.name)
@@ -125,22 +125,22 @@
 @when(
     "the call is sent with it, and again to {gateway} after its owner was frozen until a takeover"
 )
-def again_after_sleep(context, gateway):
-    send_again(context, gateway, 0, sleep_through_takeover)
+def repeat_after_takeover(context, gateway):
+    repeat_call(context, gateway, 0, freeze_until_takeover)
 
 
 def stop_platform(world, first):
-    wait_done(world, first)
+    wait_finished(world, first)
     world.deployment.set_faults(outage=True)
 
 
 @when("the call is sent with it, and again to {gateway} with the platform down")
-def again_without_platform(context, gateway):
-    send_again(context, gateway, 0, stop_platform)
+def repeat_without_platform(context, gateway):
+    repeat_call(context, gateway, 0, stop_platform)
 
 
 def change_slots(world, first):
-    wait_done(world, first)
+    wait_finished(world, first)
     path = f"services/{SERVICE}"
     etag = world.deployment.admin("gateway-1", "GET", path).headers["ETag"]
     answer = world.deployment.admin(
@@ -156,20 +156,20 @@
 
 
 @when("the call is sent with it, and again to {gateway} after the slots were changed")
-def again_after_resize(context, gateway):
-    send_again(context, gateway, 0, change_slots)
+def repeat_after_slot_change(context, gateway):
+    repeat_call(context, gateway, 0, change_slots)
 
 
-def let_owner_leave(world, first):
-    wait_done(world, first)
+def stop_owner(world, first):
+    wait_finished(world, first)
     owner = world.deployment.process(world.values["owner"])
     owner.terminate()
     assert owner.wait() == 0
 
 
 @when("the call is sent with it, and again to {gateway} after its owner has stopped")
-def again_after_leave(context, gateway):
-    send_again(context, gateway, 0, let_owner_leave)
+def repeat_after_stop(context, gateway):
+    repeat_call(context, gateway, 0, stop_owner)
 
 
 @then("every answer is the same")
@@ -181,7 +181,7 @@
 
 
 @then("no answer has outcome not_run")
-def check_not_called(context):
+def check_no_not_run(context):
     for result in context.world.results:
         assert result.outcome != "not_run", result.body
     again = context.world.results[-1]
@@ -214,7 +214,7 @@
 
 
 @when("the platform is down until all leases have expired")
-def outlast_leases(context):
+def expire_leases(context):
     world = context.world
     ends = [
         slot["intervals"][-1]["end"]
@@ -261,7 +261,7 @@
 
 
 @when("an account's template lists panel_status as non-repeatable")
-def make_stricter(context):
+def list_as_non_repeatable(context):
     world = context.world
     path = "templates/prototyping-shop"
     etag = world.deployment.admin("gateway-1", "GET", path).headers["ETag"]
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -38,11 +38,11 @@
             path = f"endpoints/{name}/drain"
             world.deployment.admin("gateway-1", "POST", path).raise_for_status()
 
-    def all_gone():
+    def all_drained():
         boxes = world.deployment.admin("gateway-1", "GET", "status").json()["boxes"]
         return not any(b["state"] == "live" and b["role"] == "agent" for b in boxes)
 
-    wait_until(all_gone, "the endpoints to be drained")
+    wait_until(all_drained, "the endpoints to be drained")
 
 
 def kill_all(world, prefix):
@@ -53,12 +53,12 @@
 def kill_agents(world):
     kill_all(world, "order")
 
-    def noticed():
+    def are_silent():
         boxes = world.deployment.admin("gateway-1", "GET", "status").json()["boxes"]
         states = [b["state"] for b in boxes if b["box"].startswith("order")]
         return states == ["silent", "silent"]
 
-    wait_until(noticed, "the agents to be reported silent")
+    wait_until(are_silent, "the agents to be reported silent")
 
 
 def restart_services(world):
@@ -70,9 +70,9 @@
 def send(world, cause, tag):
     caller = world.caller()
     if cause == "its bearer key is unknown":
-        stranger = Caller(world.deployment.url("gateway-1"), "nobody")
-        world.callers.append(stranger)
-        return stranger.call(SERVICE, PLAIN_KIND, tag=tag)
+        unknown_caller = Caller(world.deployment.url("gateway-1"), "nobody")
+        world.callers.append(unknown_caller)
+        return unknown_caller.call(SERVICE, PLAIN_KIND, tag=tag)
     if cause == "its kind is unknown":
         return caller.call(SERVICE, "nothing", tag=tag)
     if cause == "its service is unknown":
@@ -148,7 +148,7 @@
 
 
 @then("it is not reported as not_run")
-def check_outcome(context):
+def check_possibly_run(context):
     result = context.world.results[-1]
     assert result.code and result.outcome != "not_run", result
 
@@ -177,7 +177,7 @@
 
 
 @when("a {request} runs at the only endpoint and its agent is killed")
-def die_midway(context, request):
+def kill_only_agent(context, request):
     world = context.world
     prefix = "order" if request == "call" else "review"
     world.deployment.process(f"{prefix}-2").kill()
--- a/features/steps/stream_steps.py
+++ b/features/steps/stream_steps.py
@@ -11,7 +11,7 @@
 from piershore.core.routing.aperture import choose_aperture
 from piershore.gateway.agent_link import SILENCE_TIMEOUT_SECONDS
 
-STILL_MARGIN_SECONDS = 1.0
+FREEZE_MARGIN_SECONDS = 1.0
 """Time for which the gateway is frozen beyond the silence timeout."""
 
 
@@ -39,13 +39,13 @@
 
 
 @when("a stream of {count:d} tokens is requested")
-def ask_stream(context, count):
+def request_stream(context, count):
     world = context.world
     set_engines_paused(world, True)
     world.stream(count)
 
 
-def go_on_to(world, moment):
+def run_until(world, moment):
     """Let the engines run until the moment of the fault; return the serving one."""
     if moment == "before the first token":
         return serving_number(world)
@@ -125,7 +125,7 @@
 def fault_step(fault):
     def inject(context, moment):
         world = context.world
-        number = go_on_to(world, moment)
+        number = run_until(world, moment)
         FAULTS[fault](world, number)
         set_engines_paused(world, False)
 
@@ -138,10 +138,10 @@
 
 @when("gateway-1 is frozen after {count:d} tokens")
 def freeze_gateway(context, count):
-    go_on_to(context.world, f"after {count}")
+    run_until(context.world, f"after {count}")
     process = context.world.deployment.process("gateway-1")
     process.freeze()
-    time.sleep(SILENCE_TIMEOUT_SECONDS + STILL_MARGIN_SECONDS)
+    time.sleep(SILENCE_TIMEOUT_SECONDS + FREEZE_MARGIN_SECONDS)
     process.thaw()
 
 
@@ -152,13 +152,13 @@
 
 @when("gateway-1 is killed after {count:d} tokens")
 def kill_gateway(context, count):
-    go_on_to(context.world, f"after {count}")
+    run_until(context.world, f"after {count}")
     context.world.deployment.process("gateway-1").kill()
     context.world.streams[0].join()
 
 
 @when("the caller resumes at gateway-2")
-def resume_elsewhere(context):
+def resume_at_other_gateway(context):
     world = context.world
     world.stream(150, "gateway-2", world.streams[0].last_id)
 
@@ -173,7 +173,7 @@
 
 
 @then("the stream is complete, in order, from one generation")
-def check_whole(context):
+def check_complete(context):
     stream = context.world.streams[0]
     stream.join()
     assert stream.finished, stream.problem
@@ -191,9 +191,9 @@
 
 
 @when("the caller disconnects after {count:d} tokens")
-def drop_caller(context, count):
+def disconnect_caller(context, count):
     world = context.world
-    go_on_to(world, f"after {count}")
+    run_until(world, f"after {count}")
     set_engines_paused(world, True)
     world.callers[-1].close()
     world.values["dropped"] = world.streams[0]
@@ -225,7 +225,7 @@
 
 
 @when("a stream of {count:d} tokens is requested and read slowly")
-def ask_slow(context, count):
+def request_slow_stream(context, count):
     stream = context.world.stream(count)
     stream.reading_allowed.clear()
     stream.wait_for_tokens(1)
@@ -251,7 +251,7 @@
 @when("another account resumes it after {count:d} tokens")
 def resume_as_other(context, count):
     world = context.world
-    go_on_to(world, f"after {count}")
+    run_until(world, f"after {count}")
     caller = world.caller("gateway-2", "yaba")
     last_id = world.streams[0].last_id
     with caller.open_stream("design-review", "draft", 1, "", last_id) as response:
@@ -281,10 +281,10 @@
     )
     world.deployment.start_gateway(name, "ikeja", aperture=1)
     world.deployment.wait_ready(name)
-    other = ({*halls} - {first.endpoint}).pop()
+    linked = ({*halls} - {first.endpoint}).pop()
     process = world.deployment.process(name)
     wait_until(
-        lambda: f"endpoint={other} " in process.output, "a link to the other endpoint"
+        lambda: f"endpoint={linked} " in process.output, "a link to the other endpoint"
     )
     assert f"endpoint={first.endpoint} " not in process.output
     world.stream(150, name, first.last_id)
--- a/features/steps/two_fault_steps.py
+++ b/features/steps/two_fault_steps.py
@@ -5,9 +5,9 @@
 from behave import then, when
 from once_steps import (
     first_call,
+    freeze_until_takeover,
     kill_owner,
     read_slot_table,
-    sleep_through_takeover,
 )
 from stream_steps import serving_number, set_engines_paused
 from support.world import AGENT_COUNT, ENDPOINT_NUMBERS, GATEWAYS, MODEL
@@ -17,7 +17,7 @@
 LONG_CALL_SECONDS = 2.0
 
 
-def all_share(world):
+def both_own_slots(world):
     slots = read_slot_table(world)["layouts"][-1]["slots"]
     owners = {slot["intervals"][-1]["owner"]["endpoint"] for slot in slots}
     return owners == {f"order-{number}" for number in ENDPOINT_NUMBERS}
@@ -26,7 +26,7 @@
 @when("the platform goes down and the owner is killed while the call runs")
 def kill_owner_in_outage(context):
     world = context.world
-    wait_until(lambda: all_share(world), "both agents to own slots")
+    wait_until(lambda: both_own_slots(world), "both agents to own slots")
     for gateway in GATEWAYS:
         world.deployment.wait_links(gateway, AGENT_COUNT)
     first, arguments = first_call(world, LONG_CALL_SECONDS)
@@ -46,11 +46,11 @@
 
 
 @when("its owner loses answers to writes, is frozen until a takeover and thawed")
-def lose_and_freeze(context):
+def lose_answers_and_freeze(context):
     world = context.world
     first, arguments = first_call(world, 0)
     world.deployment.set_faults(lose_answers=3)
-    sleep_through_takeover(world, first)
+    freeze_until_takeover(world, first)
     world.results.append(first.result(60))
     for gateway in GATEWAYS:
         world.results.append(world.call_once(gateway, world.values["key"], **arguments))
--- a/features/steps/whole_steps.py
+++ b/features/steps/whole_steps.py
@@ -35,7 +35,7 @@
 
 @then("every caller has the complete answer to its request")
 @then("every later caller has the complete answer to its request")
-def check_own(context):
+def check_complete(context):
     faulty = [result for result in context.world.results if not result.is_whole]
     assert context.world.results and not faulty, faulty
 
--- a/src/piershore/gateway/agent_link.py
+++ b/src/piershore/gateway/agent_link.py
@@ -100,7 +100,7 @@
         self._intervals: tuple[SlotInterval, ...] = ()
         self._closed = trio.Event()
         self._opened = trio.Event()
-        self._heard_at = 0.0
+        self._last_received_at = 0.0
         self._retired = False
 
     @property
@@ -212,25 +212,25 @@
         self._closed = closed = trio.Event()
         client = LinkClient(self._status.address, self._frame_received, closed.set)
         self._client = client
-        self._heard_at = trio.current_time()
+        self._last_received_at = trio.current_time()
         client.start()
         client.send(GatewayFrame(hello=GatewayHello(gateway=self._gateway)))
-        await self._wait_for_silence(closed)
+        await self._wait_until_lost(closed)
         was_open = self._state.is_open
         self._disconnect()
         return was_open
 
-    async def _wait_for_silence(self, closed: trio.Event) -> None:
+    async def _wait_until_lost(self, closed: trio.Event) -> None:
         """Wait until the link is closed or has been silent for too long."""
         while not closed.is_set():
-            due = self._heard_at + SILENCE_TIMEOUT_SECONDS
-            with trio.move_on_at(due):
+            deadline = self._last_received_at + SILENCE_TIMEOUT_SECONDS
+            with trio.move_on_at(deadline):
                 await closed.wait()
             now = trio.current_time()
-            if was_paused(due, now):
+            if was_paused(deadline, now):
                 # Frames that arrived while the process was paused are still unread.
-                self._heard_at = now
-            elif now >= self._heard_at + SILENCE_TIMEOUT_SECONDS:
+                self._last_received_at = now
+            elif now >= self._last_received_at + SILENCE_TIMEOUT_SECONDS:
                 return
 
     def _disconnect(self) -> None:
@@ -250,15 +250,15 @@
             request.mark_lost()
 
     def _frame_received(self, frame: AgentFrame) -> None:
-        self._heard_at = trio.current_time()
+        self._last_received_at = trio.current_time()
         body = frame.WhichOneof("body")
         if body == "tokens":
             for stream in frame.tokens.streams:
                 self._deliver(stream.request, stream)
         elif body == "heartbeat":
-            self._take_heartbeat(frame.heartbeat)
+            self._apply_heartbeat(frame.heartbeat)
         elif body == "hello":
-            self._take_hello(frame)
+            self._apply_hello(frame)
         elif body in REQUEST_FRAMES:
             message = getattr(frame, body)
             self._deliver(message.request, message)
@@ -268,7 +268,7 @@
         if request is not None:
             request.deliver(message)
 
-    def _take_hello(self, frame: AgentFrame) -> None:
+    def _apply_hello(self, frame: AgentFrame) -> None:
         hello = frame.hello
         if self._client is None or hello.endpoint != self._state.name:
             # The address now belongs to another endpoint.
@@ -278,7 +278,7 @@
         self._complete_to = hello.complete_to
         self._cursor = BatchCursor(self._config, hello.complete_to)
 
-    def _open(self) -> None:
+    def _mark_open(self) -> None:
         """Accept requests, once a heartbeat has reported the agent's intervals.
 
         Before the first heartbeat the agent would seem to own no keys at all.
@@ -291,21 +291,23 @@
         )
         self.send_config_changes()
 
-    def _take_heartbeat(self, beat: Heartbeat) -> None:
-        self._state.is_leaving = beat.leaving or self._retired
+    def _apply_heartbeat(self, heartbeat: Heartbeat) -> None:
+        self._state.is_leaving = heartbeat.leaving or self._retired
         self._state.unreported = 0
-        self._state.report = LoadReport(beat.running, beat.queued, beat.free_share)
-        self._complete_to = beat.complete_to
-        self._applied_beyond = frozenset(beat.applied_beyond)
+        self._state.report = LoadReport(
+            heartbeat.running, heartbeat.queued, heartbeat.free_share
+        )
+        self._complete_to = heartbeat.complete_to
+        self._applied_beyond = frozenset(heartbeat.applied_beyond)
         owner = Owner(self._state.name, self._incarnation or "")
         self._intervals = tuple(
             SlotInterval(
-                held.layout_start,
-                held.slot_count,
-                held.slot,
-                Interval(owner, held.start, held.end, held.released),
+                interval.layout_start,
+                interval.slot_count,
+                interval.slot,
+                Interval(owner, interval.start, interval.end, interval.released),
             )
-            for held in beat.intervals
+            for interval in heartbeat.intervals
         )
         if self._cursor is not None and not self._state.is_open:
-            self._open()
+            self._mark_open()
--- a/src/piershore/gateway/agent_links.py
+++ b/src/piershore/gateway/agent_links.py
@@ -34,17 +34,17 @@
         self,
         gateway: str,
         data_hall: str,
-        choice: str,
+        policy: str,
         aperture: int,
         config: ConfigView,
     ) -> None:
         self._gateway = gateway
         self._data_hall = data_hall
         self._aperture = aperture
-        self._asked_for: OrderedDict[str, None] = OrderedDict()
+        self._on_demand: OrderedDict[str, None] = OrderedDict()
         self._nursery: trio.Nursery | None = None
         self._config = config
-        self._choice = LOAD_BALANCING_POLICIES[choice](data_hall, Random())
+        self._policy = LOAD_BALANCING_POLICIES[policy](data_hall, Random())
         self._links: dict[str, AgentLink] = {}
         self._retired: set[AgentLink] = set()
         self._leaving: frozenset[str] = frozenset()
@@ -62,7 +62,7 @@
             self._nursery = nursery
             while True:
                 self._changed = trio.Event()
-                self._follow()
+                self._update_links()
                 for link in self.all:
                     link.send_config_changes()
                 await self._changed.wait()
@@ -79,10 +79,10 @@
         status = self._config.get(ObjectKind.ENDPOINT, endpoint)
         if link is not None or status is None or status.incarnation != incarnation:
             return link
-        self._asked_for[endpoint] = None
-        while len(self._asked_for) > MAX_ON_DEMAND_LINKS:
-            self._asked_for.popitem(last=False)
-        self._follow()
+        self._on_demand[endpoint] = None
+        while len(self._on_demand) > MAX_ON_DEMAND_LINKS:
+            self._on_demand.popitem(last=False)
+        self._update_links()
         return self.find(endpoint, incarnation)
 
     def find(self, endpoint: str, incarnation: str) -> AgentLink | None:
@@ -102,7 +102,7 @@
     def intervals(self, service: str) -> Iterator[SlotInterval]:
         """Yield the intervals of a service's agents that accept new requests."""
         for link in self.of_service(service):
-            if self._is_able(link.state):
+            if self._accepts_requests(link.state):
                 yield from link.intervals
 
     def all_intervals(self, service: str) -> Iterator[SlotInterval]:
@@ -118,11 +118,11 @@
         states = [
             link.state
             for link in self.of_service(service)
-            if self._is_able(link.state) and link.state.name not in excluded
+            if self._accepts_requests(link.state) and link.state.name not in excluded
         ]
         if not states:
             return None
-        return self._links[self._choice.choose(states, prompt).name]
+        return self._links[self._policy.choose(states, prompt).name]
 
     def seconds_until_any_available(self, service: str) -> float | None:
         """Return the seconds until the first backoff ends, if all endpoints back off.
@@ -138,17 +138,17 @@
         ]
         return min(left, default=0.0) or None
 
-    def _is_able(self, state: EndpointState) -> bool:
-        is_resting = state.rest.seconds_left(trio.current_time()) > 0
-        return state.takes_work and not is_resting and self._is_staying(state)
+    def _accepts_requests(self, state: EndpointState) -> bool:
+        is_backing_off = state.rest.seconds_left(trio.current_time()) > 0
+        return state.takes_work and not is_backing_off and self._is_staying(state)
 
     def _is_staying(self, state: EndpointState) -> bool:
         status = self._config.get(ObjectKind.ENDPOINT, state.name)
         is_drained = status is None or status.drain
         return not is_drained and state.name not in self._leaving
 
-    def _follow(self) -> None:
-        wanted = self._wanted()
+    def _update_links(self) -> None:
+        wanted = self._wanted_endpoints()
         for name, status in wanted.items():
             link = self._links.get(name)
             if link is not None and link.update_status(status):
@@ -159,21 +159,23 @@
         for name in set(self._links) - set(wanted):
             self._retire(name)
 
-    def _wanted(self) -> dict[str, EndpointStatus]:
+    def _wanted_endpoints(self) -> dict[str, EndpointStatus]:
         announced = dict(self._config.all(ObjectKind.ENDPOINT))
-        halls: dict[str, dict[str, str]] = defaultdict(dict)
+        data_halls: dict[str, dict[str, str]] = defaultdict(dict)
         for name, status in announced.items():
-            halls[status.service][name] = status.data_hall
-        names = {name for name in self._asked_for if name in announced}
-        for service, of_service in halls.items():
-            names |= self._aperture_of(service, of_service)
+            data_halls[status.service][name] = status.data_hall
+        names = {name for name in self._on_demand if name in announced}
+        for service, service_halls in data_halls.items():
+            names |= self._aperture_of(service, service_halls)
         return {name: announced[name] for name in names}
 
-    def _aperture_of(self, service: str, halls: dict[str, str]) -> frozenset[str]:
+    def _aperture_of(self, service: str, data_halls: dict[str, str]) -> frozenset[str]:
         spec = self._config.get(ObjectKind.SERVICE, service)
         if spec is None or spec.type is ServiceType.PLAIN:
-            return frozenset(halls)
-        return choose_aperture(self._gateway, self._data_hall, halls, self._aperture)
+            return frozenset(data_halls)
+        return choose_aperture(
+            self._gateway, self._data_hall, data_halls, self._aperture
+        )
 
     def _open(self, name: str, status: EndpointStatus) -> None:
         link = AgentLink(self._gateway, name, status, self._config)
--- a/src/piershore/gateway/call_service.py
+++ b/src/piershore/gateway/call_service.py
@@ -63,13 +63,13 @@
         self._retries = retries
         self._random = Random()
 
-    async def call(self, order: RequestedCall) -> CallAnswer:
+    async def call(self, requested: RequestedCall) -> CallAnswer:
         """Run one call; raise `RequestRefusedError` with the outcome if it fails."""
-        if not order.non_repeatable:
-            return await self._call_repeatable(order)
-        if order.key is not None:
-            return await self._call_with_key(order, order.key)
-        return await self._call_with_minted_keys(order)
+        if not requested.non_repeatable:
+            return await self._call_repeatable(requested)
+        if requested.key is not None:
+            return await self._call_with_key(requested, requested.key)
+        return await self._call_with_minted_keys(requested)
 
     def mint(self, service: str) -> MintedKey:
         """Return a new key whose owner is reachable."""
@@ -84,26 +84,29 @@
             )
         return key
 
-    async def _call_repeatable(self, order: RequestedCall) -> CallAnswer:
-        tries = RequestAttempts(self._links, self._retries)
+    async def _call_repeatable(self, requested: RequestedCall) -> CallAnswer:
+        attempts = RequestAttempts(self._links, self._retries)
         while True:
-            link = tries.next_link(order.service)
+            link = attempts.next_link(requested.service)
             try:
-                return CallAnswer(await self._send(link, order, key=""))
+                return CallAnswer(await self._send(link, requested, key=""))
             except LinkLostError as error:
                 outcome = Outcome.UNKNOWN if error.was_sent else Outcome.NOT_RUN
                 reason = RefusalReason.AGENT_LOST
                 refusal = RequestRefusedError(reason, error.message, outcome)
             except RequestRefusedError as error:
                 refusal = error
-            tries.record_failure(refusal)
+            attempts.record_failure(refusal)
 
-    async def _call_with_key(self, order: RequestedCall, key: MintedKey) -> CallAnswer:
+    async def _call_with_key(
+        self, requested: RequestedCall, key: MintedKey
+    ) -> CallAnswer:
         # Only the owner of the key's mint time knows whether the call has run.
-        known = intervals_for(key, self._links.all_intervals(order.service))
-        held = next(known, None)
-        link = held and self._links.find(
-            held.interval.owner.endpoint, held.interval.owner.incarnation
+        intervals = intervals_for(key, self._links.all_intervals(requested.service))
+        slot_interval = next(intervals, None)
+        link = slot_interval and self._links.find(
+            slot_interval.interval.owner.endpoint,
+            slot_interval.interval.owner.incarnation,
         )
         if link is None:
             raise RequestRefusedError(
@@ -112,22 +115,22 @@
                 Outcome.UNKNOWN,
                 retry_after=DEFAULT_RETRY_AFTER_SECONDS,
             )
-        answer = await self._call_owner(link, order, key)
+        answer = await self._call_owner(link, requested, key)
         return CallAnswer(answer, key.text)
 
-    async def _call_with_minted_keys(self, order: RequestedCall) -> CallAnswer:
-        tries = RequestAttempts(self._links, self._retries)
+    async def _call_with_minted_keys(self, requested: RequestedCall) -> CallAnswer:
+        attempts = RequestAttempts(self._links, self._retries)
         while True:
-            key = self.mint(order.service)
+            key = self.mint(requested.service)
             try:
-                return await self._call_with_key(order, key)
+                return await self._call_with_key(requested, key)
             except RequestRefusedError as error:
-                refusal = self._certain(error)
+                refusal = self._resolve_outcome(error)
             if refusal.outcome is not Outcome.NOT_RUN:
                 raise refusal
-            tries.record_failure(refusal)
+            attempts.record_failure(refusal)
 
-    def _certain(self, error: RequestRefusedError) -> RequestRefusedError:
+    def _resolve_outcome(self, error: RequestRefusedError) -> RequestRefusedError:
         """Return `error` with the outcome that it has for a key just minted.
 
         No earlier call can have used such a key.
@@ -141,11 +144,11 @@
         return error
 
     async def _call_owner(
-        self, link: AgentLink, order: RequestedCall, key: MintedKey
+        self, link: AgentLink, requested: RequestedCall, key: MintedKey
     ) -> Answer:
         incarnation = link.newest_incarnation
         try:
-            return await self._send(link, order, key.text)
+            return await self._send(link, requested, key.text)
         except LinkLostError as error:
             if not error.was_sent:
                 raise RequestRefusedError(
@@ -154,10 +157,14 @@
                     Outcome.UNKNOWN,
                     retry_after=DEFAULT_RETRY_AFTER_SECONDS,
                 ) from error
-        return await self._ask_again(link, incarnation, order, key)
-
-    async def _ask_again(
-        self, link: AgentLink, incarnation: str, order: RequestedCall, key: MintedKey
+        return await self._resend(link, incarnation, requested, key)
+
+    async def _resend(
+        self,
+        link: AgentLink,
+        incarnation: str,
+        requested: RequestedCall,
+        key: MintedKey,
     ) -> Answer:
         """Resend the call to the same incarnation, which knows whether it has run."""
         if (
@@ -166,7 +173,7 @@
         ):
             metrics.RETRIES.labels(reason=RefusalReason.AGENT_LOST).inc()
             try:
-                return await self._send(link, order, key.text)
+                return await self._send(link, requested, key.text)
             except LinkLostError:
                 pass
             except RequestRefusedError as error:
@@ -180,31 +187,33 @@
             Outcome.UNKNOWN,
         )
 
-    async def _send(self, link: AgentLink, order: RequestedCall, key: str) -> Answer:
+    async def _send(
+        self, link: AgentLink, requested: RequestedCall, key: str
+    ) -> Answer:
         request = link.open_request()
         try:
-            request.send(call=self._message(request, order, key))
+            request.send(call=self._call_frame(request, requested, key))
             frame = None
-            with trio.move_on_after(order.timeout):
+            with trio.move_on_after(requested.timeout):
                 frame = await request.receive()
-            return self._read(link, frame)
+            return self._read_answer(link, frame)
         finally:
             request.close(cancel=False)
 
     @staticmethod
-    def _message(request: LinkRequest, order: RequestedCall, key: str) -> Call:
+    def _call_frame(request: LinkRequest, requested: RequestedCall, key: str) -> Call:
         return Call(
             request=request.number,
-            account=order.account,
-            service=order.service,
-            kind=order.kind,
-            non_repeatable=order.non_repeatable,
+            account=requested.account,
+            service=requested.service,
+            kind=requested.kind,
+            non_repeatable=requested.non_repeatable,
             key=key,
-            body=order.body,
+            body=requested.body,
         )
 
     @staticmethod
-    def _read(link: AgentLink, frame: object) -> Answer:
+    def _read_answer(link: AgentLink, frame: object) -> Answer:
         match frame:
             case Answered():
                 return Answer(frame.status, frame.body)
--- a/src/piershore/gateway/callers_api.py
+++ b/src/piershore/gateway/callers_api.py
@@ -83,18 +83,18 @@
         admission = self._admit(account)
         try:
             if event_id is not None:
-                source = self._generations.resume(account.name, event_id)
-                return await self._stream(admission, body.model, source)
-            order = self._order(account, service, body)
+                chunks = self._generations.resume(account.name, event_id)
+                return await self._stream(admission, body.model, chunks)
+            generation = self._build_generation(account, service, body)
             if body.stream:
-                source = self._generations.stream(order)
-                return await self._stream(admission, body.model, source)
-            tokens = await self._generations.complete(order)
+                chunks = self._generations.stream(generation)
+                return await self._stream(admission, body.model, chunks)
+            tokens = await self._generations.complete(generation)
         except BaseException:
             admission.release()
             raise
         admission.release()
-        return _json(_whole_answer(body.model, tokens))
+        return _json(_complete_answer(body.model, tokens))
 
     async def call(self, service: str) -> Response:
         """Execute a call of a plain service."""
@@ -102,8 +102,8 @@
         try:
             return await self._call(service, key_text)
         except RequestRefusedError as error:
-            is_local = error.outcome is Outcome.NOT_RUN
-            if key_text is not None and is_local and not error.from_owner:
+            is_not_run = error.outcome is Outcome.NOT_RUN
+            if key_text is not None and is_not_run and not error.from_owner:
                 # An earlier request with the same key may have run.
                 error.outcome = _outcome_for_key(error.reason)
             raise
@@ -120,7 +120,7 @@
         service = self._find_service(account, service_name, ServiceType.PLAIN)
         self._check_kind(service, body.kind)
         non_repeatable = self._is_non_repeatable(account, service, body.kind)
-        order = RequestedCall(
+        requested = RequestedCall(
             account=account.name,
             service=service_name,
             kind=body.kind,
@@ -130,7 +130,7 @@
         )
         admission = self._admit(account)
         try:
-            result = await self._calls.call(order)
+            result = await self._calls.call(requested)
         finally:
             admission.release()
         response = Response(
@@ -143,14 +143,14 @@
         return response
 
     async def _stream(
-        self, admission: Admission, model: str, source: AsyncIterator[TokenChunk]
+        self, admission: Admission, model: str, chunks: AsyncIterator[TokenChunk]
     ) -> Response:
         # Wait for the first tokens, so that a refusal can still set the HTTP status.
         try:
-            first = await anext(source)
+            first = await anext(chunks)
         except StopAsyncIteration:
             first = None
-        events = self._events(admission, model, first, source)
+        events = self._events(admission, model, first, chunks)
         response = Response(events, content_type=EVENT_STREAM)
         response.timeout = None
         response.headers["Cache-Control"] = "no-store"
@@ -161,28 +161,28 @@
         admission: Admission,
         model: str,
         first: TokenChunk | None,
-        source: AsyncIterator[TokenChunk],
+        chunks: AsyncIterator[TokenChunk],
     ) -> AsyncIterator[bytes]:
-        answer = f"chatcmpl-{uuid4().hex}"
-        shown_at = trio.current_time()
+        answer_id = f"chatcmpl-{uuid4().hex}"
+        last_chunk_at = trio.current_time()
         try:
-            async with aclosing(source):
+            async with aclosing(chunks):
                 if first is not None:
-                    yield _token_event(answer, model, first)
-                async for shown in source:
+                    yield _token_event(answer_id, model, first)
+                async for chunk in chunks:
                     now = trio.current_time()
-                    metrics.TOKEN_GAP_SECONDS.observe(now - shown_at)
-                    shown_at = now
-                    yield _token_event(answer, model, shown)
-            yield _data(_chunk(answer, model, "", "stop"))
+                    metrics.TOKEN_GAP_SECONDS.observe(now - last_chunk_at)
+                    last_chunk_at = now
+                    yield _token_event(answer_id, model, chunk)
+            yield _event_data(_completion_chunk(answer_id, model, "", "stop"))
             yield b"data: [DONE]\n\n"
         except RequestRefusedError as error:
             count_refusal(error)
-            yield b"event: error\n" + _data(problem_body(error))
+            yield b"event: error\n" + _event_data(problem_body(error))
         finally:
             admission.release()
 
-    def _order(
+    def _build_generation(
         self, account: EffectiveAccount, service: Service, body: ChatRequest
     ) -> RequestedGeneration:
         kind = body.metadata.kind
@@ -281,26 +281,28 @@
     return Response(orjson.dumps(data), content_type="application/json")
 
 
-def _data(data: object) -> bytes:
+def _event_data(data: object) -> bytes:
     return b"data: " + orjson.dumps(data) + b"\n\n"
 
 
-def _token_event(answer: str, model: str, shown: TokenChunk) -> bytes:
-    chunk = _chunk(answer, model, "".join(shown.tokens), None)
-    return f"id: {shown.event_id}\n".encode() + _data(chunk)
+def _token_event(answer_id: str, model: str, chunk: TokenChunk) -> bytes:
+    event = _completion_chunk(answer_id, model, "".join(chunk.tokens), None)
+    return f"id: {chunk.event_id}\n".encode() + _event_data(event)
 
 
-def _chunk(answer: str, model: str, text: str, finish: str | None) -> dict:
-    choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish}
+def _completion_chunk(
+    answer_id: str, model: str, text: str, finish_reason: str | None
+) -> dict:
+    choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish_reason}
     return {
-        "id": answer,
+        "id": answer_id,
         "object": "chat.completion.chunk",
         "model": model,
         "choices": [choice],
     }
 
 
-def _whole_answer(model: str, tokens: tuple[str, ...]) -> dict:
+def _complete_answer(model: str, tokens: tuple[str, ...]) -> dict:
     message = {"role": "assistant", "content": "".join(tokens)}
     return {
         "id": f"chatcmpl-{uuid4().hex}",
--- a/src/piershore/gateway/generation_service.py
+++ b/src/piershore/gateway/generation_service.py
@@ -41,42 +41,46 @@
         self._timeout = timeout
         self._quarantine = Quarantine()
 
-    async def stream(self, order: RequestedGeneration) -> AsyncIterator[TokenChunk]:
+    async def stream(self, request: RequestedGeneration) -> AsyncIterator[TokenChunk]:
         """Yield each token once, in order, from one generation.
 
         A generation that fails before its first token may be retried at another
         endpoint. After the first token, a failure ends the stream with an error.
         """
-        self._check_held(order)
-        tries = RequestAttempts(self._links, self._retries)
+        self._check_quarantine(request)
+        attempts = RequestAttempts(self._links, self._retries)
         while True:
-            shown = False
+            has_started = False
             try:
-                async with aclosing(self._try(tries, order, resumable=True)) as tokens:
-                    async for item in tokens:
-                        shown = True
-                        yield item
-                self._quarantine.record_completion(order.content, trio.current_time())
+                async with aclosing(
+                    self._attempt(attempts, request, resumable=True)
+                ) as chunks:
+                    async for chunk in chunks:
+                        has_started = True
+                        yield chunk
+                self._quarantine.record_completion(request.content, trio.current_time())
                 return
             except RequestRefusedError as error:
-                if shown:
+                if has_started:
                     raise
-                self._note_failed(tries, order, error)
+                self._record_failure(attempts, request, error)
 
-    async def complete(self, order: RequestedGeneration) -> tuple[str, ...]:
+    async def complete(self, request: RequestedGeneration) -> tuple[str, ...]:
         """Return all tokens of one complete generation."""
-        self._check_held(order)
-        tries = RequestAttempts(self._links, self._retries)
+        self._check_quarantine(request)
+        attempts = RequestAttempts(self._links, self._retries)
         while True:
             collected: list[str] = []
             try:
-                async with aclosing(self._try(tries, order, resumable=False)) as tokens:
-                    async for item in tokens:
-                        collected.extend(item.tokens)
-                self._quarantine.record_completion(order.content, trio.current_time())
+                async with aclosing(
+                    self._attempt(attempts, request, resumable=False)
+                ) as chunks:
+                    async for chunk in chunks:
+                        collected.extend(chunk.tokens)
+                self._quarantine.record_completion(request.content, trio.current_time())
                 return tuple(collected)
             except RequestRefusedError as error:
-                self._note_failed(tries, order, error)
+                self._record_failure(attempts, request, error)
 
     async def resume(
         self, account: str, event_id: EventId
@@ -92,17 +96,17 @@
         metrics.RESUMES.labels(by="caller").inc()
         reader = _GenerationReader(link, account, self._timeout, resumable=True)
         reader.attach(event_id.generation, event_id.next_index)
-        async with aclosing(reader.read()) as tokens:
-            async for shown in tokens:
-                yield shown
+        async with aclosing(reader.read()) as chunks:
+            async for chunk in chunks:
+                yield chunk
 
-    def _check_held(self, order: RequestedGeneration) -> None:
+    def _check_quarantine(self, request: RequestedGeneration) -> None:
         """Refuse a request that is quarantined because engines crashed on it.
 
         Each retry could crash another engine, with all generations that run there.
         """
         seconds = self._quarantine.seconds_until_release(
-            order.content, trio.current_time()
+            request.content, trio.current_time()
         )
         if seconds is not None:
             raise RequestRefusedError(
@@ -111,34 +115,39 @@
                 retry_after=seconds,
             )
 
-    def _note_failed(
+    def _record_failure(
         self,
-        tries: RequestAttempts,
-        order: RequestedGeneration,
+        attempts: RequestAttempts,
+        request: RequestedGeneration,
         error: RequestRefusedError,
     ) -> None:
         """Spend a retry; raise `error` if no further attempt is allowed."""
         now = trio.current_time()
-        if error.reason is RefusalReason.ENGINE_LOST and not tries.is_previous_refusal(
-            error
+        if (
+            error.reason is RefusalReason.ENGINE_LOST
+            and not attempts.is_previous_refusal(error)
         ):
             # A restarted engine keeps its agent's name; the time tells them apart.
-            lost = f"{tries.endpoint}@{now}"
-            self._quarantine.record_crash(order.content, lost, now)
-        tries.record_failure(error)
-        if self._quarantine.seconds_until_release(order.content, now) is not None:
+            engine = f"{attempts.endpoint}@{now}"
+            self._quarantine.record_crash(request.content, engine, now)
+        attempts.record_failure(error)
+        if self._quarantine.seconds_until_release(request.content, now) is not None:
             raise error
 
-    async def _try(
-        self, tries: RequestAttempts, order: RequestedGeneration, *, resumable: bool
+    async def _attempt(
+        self,
+        attempts: RequestAttempts,
+        request: RequestedGeneration,
+        *,
+        resumable: bool,
     ) -> AsyncIterator[TokenChunk]:
-        link = tries.next_link(order.service, order.prompt)
-        self._quarantine.record_sent(order.content, trio.current_time())
-        reader = _GenerationReader(link, order.account, self._timeout, resumable)
-        reader.submit(order)
-        async with aclosing(reader.read()) as tokens:
-            async for shown in tokens:
-                yield shown
+        link = attempts.next_link(request.service, request.prompt)
+        self._quarantine.record_sent(request.content, trio.current_time())
+        reader = _GenerationReader(link, request.account, self._timeout, resumable)
+        reader.submit(request)
+        async with aclosing(reader.read()) as chunks:
+            async for chunk in chunks:
+                yield chunk
 
 
 class _GenerationReader:
@@ -159,19 +168,19 @@
         self._generation: str | None = None
         self._next_index = 0
 
-    def submit(self, order: RequestedGeneration) -> None:
+    def submit(self, request: RequestedGeneration) -> None:
         """Request a new generation."""
         self._request = self._open()
         self._request.send(
             submit=Submit(
                 request=self._request.number,
-                account=order.account,
-                service=order.service,
-                kind=order.kind,
-                priority=order.priority,
-                prompt=order.prompt,
-                max_tokens=order.max_tokens,
-                deadline_seconds=order.first_token_timeout_seconds,
+                account=request.account,
+                service=request.service,
+                kind=request.kind,
+                priority=request.priority,
+                prompt=request.prompt,
+                max_tokens=request.max_tokens,
+                deadline_seconds=request.first_token_timeout_seconds,
             )
         )
 
@@ -201,9 +210,9 @@
                 frame = await self._receive()
                 match frame:
                     case StreamTokens():
-                        shown = self._take(frame)
-                        if shown is not None:
-                            yield shown
+                        chunk = self._receive_tokens(frame)
+                        if chunk is not None:
+                            yield chunk
                             self._acknowledge()
                     case Accepted():
                         self._generation = frame.generation
@@ -235,13 +244,13 @@
                     self._outcome(),
                 )
             except LinkLostError:
-                await self._attach_again()
+                await self._reattach()
 
-    async def _attach_again(self) -> None:
-        is_back = self._generation is not None and (
+    async def _reattach(self) -> None:
+        is_reconnected = self._generation is not None and (
             await self._link.wait_open(REATTACH_TIMEOUT_SECONDS)
         )
-        if not is_back or self._link.incarnation != self._incarnation:
+        if not is_reconnected or self._link.incarnation != self._incarnation:
             raise RequestRefusedError(
                 RefusalReason.AGENT_LOST,
                 "the agent that held this generation is gone",
@@ -250,7 +259,7 @@
         metrics.RESUMES.labels(by="gateway").inc()
         self.attach(self._generation, self._next_index)
 
-    def _take(self, frame: StreamTokens) -> TokenChunk | None:
+    def _receive_tokens(self, frame: StreamTokens) -> TokenChunk | None:
         new = frame.tokens[max(0, self._next_index - frame.first_index) :]
         if frame.first_index > self._next_index or not new:
             return None
--- a/src/piershore/gateway/request_attempts.py
+++ b/src/piershore/gateway/request_attempts.py
@@ -23,9 +23,9 @@
     def __init__(self, links: AgentLinks, retries: RetryQuota) -> None:
         self._links = links
         self._retries = retries
-        self._tried: set[str] = set()
+        self._tried_endpoints: set[str] = set()
         self.endpoint = ""
-        self._last: RequestRefusedError | None = None
+        self._last_refusal: RequestRefusedError | None = None
         self._outcome = Outcome.NOT_RUN
         retries.record_request()
 
@@ -34,12 +34,12 @@
 
         Raise the last refusal if no endpoint is left.
         """
-        link = self._links.choose(service, prompt, self._tried)
+        link = self._links.choose(service, prompt, self._tried_endpoints)
         if link is not None:
             self.endpoint = link.state.name
-            self._tried.add(self.endpoint)
+            self._tried_endpoints.add(self.endpoint)
             return link
-        raise self._last or RequestRefusedError(
+        raise self._last_refusal or RequestRefusedError(
             RefusalReason.NO_ENDPOINT,
             f"no endpoint of {service} takes work now",
             retry_after=self._links.seconds_until_any_available(service)
@@ -48,7 +48,7 @@
 
     def is_previous_refusal(self, error: RequestRefusedError) -> bool:
         """Return whether `error` is the previous attempt's refusal, raised again."""
-        return error is self._last
+        return error is self._last_refusal
 
     def record_failure(self, error: RequestRefusedError) -> None:
         """Spend a retry on a failed attempt; raise `error` if none is allowed."""
@@ -65,4 +65,4 @@
         metrics.RETRIES.labels(reason=error.reason).inc()
         if error.retry_after is None:
             error.retry_after = DEFAULT_RETRY_AFTER_SECONDS
-        self._last = error
+        self._last_refusal = error
--- a/src/piershore/gateway/request_reader.py
+++ b/src/piershore/gateway/request_reader.py
@@ -65,10 +65,10 @@
 
         Unread data would keep the server from reading the connection's next request.
         """
-        left = self._caps.body_bytes * MAX_DISCARDED_BODIES
+        remaining_bytes = self._caps.body_bytes * MAX_DISCARDED_BODIES
         async for chunk in request.body:
-            left -= len(chunk)
-            if left < 0:
+            remaining_bytes -= len(chunk)
+            if remaining_bytes < 0:
                 return False
         return True
 
--- a/src/piershore/gateway/retry_quota.py
+++ b/src/piershore/gateway/retry_quota.py
@@ -23,13 +23,13 @@
         limits = RetryLimits(
             ratio=share, slack=SLACK_RETRIES, window=WINDOW_SECONDS, safety=1
         )
-        self._allowance = RetryBudget(limits)
-        self._gateways = gateways
+        self._budget = RetryBudget(limits)
+        self._count_gateways = gateways
 
     def record_request(self) -> None:
         """Record the first attempt of a request."""
-        self._allowance.record_request(trio.current_time())
+        self._budget.record_request(trio.current_time())
 
     def spend(self) -> bool:
         """Spend one retry; return False if none is left."""
-        return self._allowance.spend(trio.current_time(), self._gateways())
+        return self._budget.spend(trio.current_time(), self._count_gateways())
