--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -61,7 +61,7 @@
       | is already down  | not_run |
 
   Scenario: A reconnected agent gets requests only after it has reported its keys
-    Given a link whose agent has greeted and told nothing else yet
-    Then the link takes no requests yet
-    When the agent's first heartbeat comes
-    Then the link takes requests for the keys that the agent may run
+    Given a link whose agent has sent only its hello frame
+    Then the link accepts no requests yet
+    When the agent's first heartbeat arrives
+    Then the link accepts requests for the keys that the agent may run
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -36,7 +36,7 @@
         """Drop a frame."""
 
 
-@given("a link whose agent has greeted and told nothing else yet")
+@given("a link whose agent has sent only its hello frame")
 def given_greeted(context):
     status = EndpointStatus(
         service="desk", data_hall="ikeja", address="127.0.0.1:1", incarnation="new"
@@ -47,18 +47,18 @@
     receive(context.link, AgentFrame(hello=hello))
 
 
-@then("the link takes no requests yet")
+@then("the link accepts no requests yet")
 def check_not_open(context):
     assert not context.link.state.is_open
 
 
-@when("the agent's first heartbeat comes")
+@when("the agent's first heartbeat arrives")
 def first_heartbeat(context):
     beat = Heartbeat(complete_to=0, intervals=[HELD])
     receive(context.link, AgentFrame(heartbeat=beat))
 
 
-@then("the link takes requests for the keys that the agent may run")
+@then("the link accepts requests for the keys that the agent may run")
 def check_open(context):
     assert context.link.state.is_open
     (held,) = context.link.intervals
