--- a/src/piershore/core/ports.py
+++ b/src/piershore/core/ports.py
@@ -141,7 +141,7 @@
     def generate(self, request: GenerationRequest) -> AsyncIterator[EngineTokens]:
         """Start a generation and stream its tokens until it is complete.
 
-        Raise `EngineRestingError` if the engine refuses it and requests a backoff.
+        Raise `EngineBackoffError` if the engine refuses it and requests a backoff.
         """
 
     @abstractmethod
@@ -169,7 +169,7 @@
         """Execute one call.
 
         Raise `CallNotSentError` if nothing reached the service, and
-        `CallUncertainError` if it is unknown whether the call was executed.
+        `CallOutcomeUnknownError` if it is unknown whether the call was executed.
         """
 
 
